--- a/Source/Core/Gateway/TransientCallers.cpp
+++ b/Source/Core/Gateway/TransientCallers.cpp
@@ -142,7 +142,7 @@
     const auto host = request.headers.find("host");
     asked.host = host == request.headers.end() ? std::string() : host->second;
     asked.id = request.path.substr(request.path.rfind('/') + 1);
-    asked.patienceMs = Platform::callerPatienceMs(request).value_or(DefaultPatienceMs);
+    asked.remainingTimeoutMs = Platform::callerPatienceMs(request).value_or(DefaultPatienceMs);
     if (request.method == "POST") {
         Common::handle([&] { return decodeBody(asked, request.body); },
                        [&asked](const Common::Failure &failure) { asked.failure = failure; });
@@ -193,7 +193,7 @@
     submission.token = std::to_string(++this->lastToken);
     submission.queue = queue;
     submission.request = std::move(*asked.job);
-    submission.patienceMs = std::max<std::int64_t>(0, asked.patienceMs - ReturnMs);
+    submission.remainingTimeoutMs = std::max<std::int64_t>(0, asked.remainingTimeoutMs - ReturnMs);
     this->requests.emplace(submission.token, OpenRequest{asked.connection, asked.reply});
     this->carryOut(Transient::jobSubmitted(this->control.state, std::move(submission),
                                            this->control.now, this->control.random));
--- a/Source/Core/Gateway/TransientControl.h
+++ b/Source/Core/Gateway/TransientControl.h
@@ -24,7 +24,7 @@
     std::string path;
     /// Last part of the path.
     std::string id;
-    std::int64_t patienceMs = 0;
+    std::int64_t remainingTimeoutMs = 0;
     std::optional<Transient::JobRequest> job;
     /// Why the body is not a job.
     Common::Failure failure;
--- a/Source/Core/Gateway/TransientDaemon.cpp
+++ b/Source/Core/Gateway/TransientDaemon.cpp
@@ -49,7 +49,7 @@
     void carryOut(const Transient::AnswerCaller &effect) { this->callers.answer(effect); }
     void carryOut(const Transient::CountReason &effect);
     void carryOut(const Transient::ObserveSeconds &effect);
-    void carryOut(const Transient::Note &effect);
+    void carryOut(const Transient::LogLine &effect);
 
     void passTime();
     std::int64_t nextWakeMs() const;
@@ -142,7 +142,7 @@
 
 void TransientDaemon::Implementation::on(const GatewaysRead &event)
 {
-    Transient::gatewaysTold(this->control.discovery, event.gateways, this->control.now);
+    Transient::addGateways(this->control.discovery, event.gateways, this->control.now);
 }
 
 void TransientDaemon::Implementation::on(const TransientStopAsked & /*event*/)
@@ -179,7 +179,7 @@
                                   {{"queue", effect.queue}});
 }
 
-void TransientDaemon::Implementation::carryOut(const Transient::Note &effect)
+void TransientDaemon::Implementation::carryOut(const Transient::LogLine &effect)
 {
     Common::logEvent(LogLevel::Info, effect.event, effect.fields);
 }
--- a/Source/Core/Gateway/TransientLinks.cpp
+++ b/Source/Core/Gateway/TransientLinks.cpp
@@ -51,8 +51,8 @@
     const auto agent = this->agentLinks.find(link.agent);
     if (agent != this->agentLinks.end() && agent->second == event.link) {
         this->agentLinks.erase(agent);
-        this->carryOut(
-                Transient::agentLinkLost(this->control.state, link.agent, this->control.now));
+        this->carryOut(Transient::handleAgentDisconnected(this->control.state, link.agent,
+                                                          this->control.now));
     }
 }
 
@@ -87,8 +87,8 @@
     if (former != this->agentLinks.end() && former->second != id) {
         // Frames on the former link may be lost: the agent is taken as met anew.
         this->hub->close(former->second);
-        this->carryOut(Transient::agentLinkLost(this->control.state, announcement.instance,
-                                                this->control.now));
+        this->carryOut(Transient::handleAgentDisconnected(
+                this->control.state, announcement.instance, this->control.now));
     }
     link.agent = announcement.instance;
     this->agentLinks[announcement.instance] = id;
@@ -106,14 +106,14 @@
                          {{"gateway", announcement.gateway.instance},
                           {"queues_version", announcement.queuesVersion}});
         if (!link.address.empty()) {
-            Transient::gatewayLinked(this->control.discovery, link.address, this->control.now);
+            Transient::gatewayConnected(this->control.discovery, link.address, this->control.now);
         }
     }
     const bool isNews = !link.gateway;
     link.gateway = announcement.gateway;
-    Transient::gatewayTold(this->control.discovery, Transient::addressOf(announcement.gateway),
-                           this->control.now);
-    Transient::gatewaysTold(this->control.discovery, announcement.others, this->control.now);
+    Transient::addGateway(this->control.discovery, Transient::addressOf(announcement.gateway),
+                          this->control.now);
+    Transient::addGateways(this->control.discovery, announcement.others, this->control.now);
     Transient::orphansRelayed(this->control.state, announcement.gateway.instance,
                               announcement.orphans.value_or(std::vector<Schema::OrphanedJob>{}),
                               this->control.now);
--- a/Source/Core/Gateway/TransientStore.cpp
+++ b/Source/Core/Gateway/TransientStore.cpp
@@ -70,7 +70,7 @@
 
 void TransientStore::readLearned()
 {
-    if (!this->control.state.remembers
+    if (!this->control.state.storesLearned
         || !Transient::takeReadDue(this->learned, this->control.now)) {
         return;
     }
@@ -98,7 +98,7 @@
 void TransientStore::writeLearned()
 {
     const TransientControl &control = this->control;
-    if (!control.state.remembers
+    if (!control.state.storesLearned
         || !Transient::takeWriteDue(this->learned, control.state.fleet, control.now)) {
         return;
     }
--- a/Source/Core/Runner/Orphans.cpp
+++ b/Source/Core/Runner/Orphans.cpp
@@ -76,9 +76,9 @@
     if (isWider(orphans.held, before.held) || isWider(orphans.unanswered, before.unanswered)) {
         state.urgentOrphansChange = state.orphansChange;
         effects.emplace_back(
-                Transient::Note{"jobs_orphaned",
-                                {{"held", std::to_string(orphans.held.size())},
-                                 {"unanswered", std::to_string(orphans.unanswered.size())}}});
+                Transient::LogLine{"jobs_orphaned",
+                                   {{"held", std::to_string(orphans.held.size())},
+                                    {"unanswered", std::to_string(orphans.unanswered.size())}}});
     }
     before = orphans;
 }
--- a/Source/Core/Runner/Runner.cpp
+++ b/Source/Core/Runner/Runner.cpp
@@ -47,11 +47,11 @@
     state.attempt = attempt.attempt;
     state.phase = phase;
     state.reason = reason;
-    effects.emplace_back(Transient::Note{"order_given_back",
-                                         {{"task", attempt.task},
-                                          {"attempt", std::to_string(attempt.attempt)},
-                                          {"gateway", gateway},
-                                          {"reason", Schema::enumName(reason)}}});
+    effects.emplace_back(Transient::LogLine{"order_given_back",
+                                            {{"task", attempt.task},
+                                             {"attempt", std::to_string(attempt.attempt)},
+                                             {"gateway", gateway},
+                                             {"reason", Schema::enumName(reason)}}});
     effects.emplace_back(ReportAttempt{gateway, state});
 }
 
@@ -107,10 +107,10 @@
     Effects effects;
     if (isLate(state, announcement)) {
         effects.emplace_back(
-                Transient::Note{"announcement_late",
-                                {{"id", announcement.id},
-                                 {"started_at_ms", std::to_string(announcement.startedAtMs)},
-                                 {"sequence", std::to_string(announcement.sequence)}}});
+                Transient::LogLine{"announcement_late",
+                                   {{"id", announcement.id},
+                                    {"started_at_ms", std::to_string(announcement.startedAtMs)},
+                                    {"sequence", std::to_string(announcement.sequence)}}});
         return effects;
     }
     const std::optional<Transient::BackendAnnouncement> before = state.backend;
@@ -121,13 +121,13 @@
                                  || (announcement.startedAtMs != 0 && before->startedAtMs != 0
                                      && before->startedAtMs != announcement.startedAtMs));
     if (isOtherLife || !before) {
-        effects.emplace_back(
-                Transient::Note{"backend_announced",
-                                {{"id", announcement.id},
-                                 {"address", announcement.address},
-                                 {"started_at_ms", std::to_string(announcement.startedAtMs)},
-                                 {"processors", std::to_string(announcement.resources.processors)},
-                                 {"sequence", std::to_string(announcement.sequence)}}});
+        effects.emplace_back(Transient::LogLine{
+                "backend_announced",
+                {{"id", announcement.id},
+                 {"address", announcement.address},
+                 {"started_at_ms", std::to_string(announcement.startedAtMs)},
+                 {"processors", std::to_string(announcement.resources.processors)},
+                 {"sequence", std::to_string(announcement.sequence)}}});
     }
     if (isOtherLife) {
         state.clockOffsetMs.reset();
@@ -135,7 +135,7 @@
         beginLife(state, effects, *before, now);
     }
     if (announcement.leaving && (!before || !before->leaving)) {
-        effects.emplace_back(Transient::Note{
+        effects.emplace_back(Transient::LogLine{
                 "backend_leaving",
                 {{"id", announcement.id}, {"queued", std::to_string(state.queue.size())}}});
         giveBackQueued(state, effects, Reason::AgentDraining, now);
@@ -152,7 +152,7 @@
     if (!state.backend || state.backend->id != id) {
         return effects;
     }
-    effects.emplace_back(Transient::Note{"backend_left", {{"id", id}}});
+    effects.emplace_back(Transient::LogLine{"backend_left", {{"id", id}}});
     state.backend->leaving = true;
     giveBackQueued(state, effects, Reason::AgentDraining, now);
     // What runs there may last some moments yet: it is given up when its lease is over.
@@ -219,7 +219,7 @@
             orphaned.push_back(id);
         }
     }
-    effects.emplace_back(Transient::Note{
+    effects.emplace_back(Transient::LogLine{
             "gateway_lost", {{"gateway", gateway}, {"runs", std::to_string(orphaned.size())}}});
     for (const RunId id : orphaned) {
         stopRun(state, effects, id, Reason::GatewayLost, now);
--- a/Source/Core/Runner/RunnerDaemon.cpp
+++ b/Source/Core/Runner/RunnerDaemon.cpp
@@ -114,7 +114,7 @@
     void carryOut(const ReportAttempt &effect);
     void carryOut(const Announce &effect);
     void carryOut(const Transient::CountReason &effect);
-    void carryOut(const Transient::Note &effect);
+    void carryOut(const Transient::LogLine &effect);
 
     void gatewayAnnounced(Net::LinkId id, const Schema::GatewayAnnouncement &announcement);
     void announceTo(Net::LinkId id, GatewayLink &link);
@@ -298,14 +298,14 @@
 void RunnerDaemon::Implementation::gatewayAnnounced(Net::LinkId id,
                                                     const Schema::GatewayAnnouncement &announcement)
 {
-    Transient::gatewaysTold(this->discovery, announcement.others, this->now);
+    Transient::addGateways(this->discovery, announcement.others, this->now);
     GatewayLink &link = this->links.at(id);
     if (!link.instance.empty()) {
         grantReceived(this->state, link.instance, announcement.echoMs);
         return;
     }
     link.instance = announcement.gateway.instance;
-    Transient::gatewayLinked(this->discovery, link.address, this->now);
+    Transient::gatewayConnected(this->discovery, link.address, this->now);
     std::string &lastHere = this->instanceAt[link.address];
     if (!lastHere.empty() && lastHere != link.instance) {
         this->unlinked.erase(lastHere);
@@ -371,7 +371,7 @@
 
 void RunnerDaemon::Implementation::on(const GatewaysRead &event)
 {
-    Transient::gatewaysTold(this->discovery, event.gateways, this->now);
+    Transient::addGateways(this->discovery, event.gateways, this->now);
 }
 
 void RunnerDaemon::Implementation::on(const StopRequested & /*event*/)
@@ -470,7 +470,7 @@
     this->metrics.count(effect.counter, {{"reason", Schema::enumName(effect.reason)}});
 }
 
-void RunnerDaemon::Implementation::carryOut(const Transient::Note &effect)
+void RunnerDaemon::Implementation::carryOut(const Transient::LogLine &effect)
 {
     Common::logEvent(LogLevel::Info, effect.event, effect.fields);
 }
--- a/Source/Core/Runner/RunnerState.h
+++ b/Source/Core/Runner/RunnerState.h
@@ -117,7 +117,7 @@
 {};
 
 using Effect = std::variant<CallStart, CallStop, CallObserve, ReportAttempt, Announce,
-                            Transient::CountReason, Transient::Note>;
+                            Transient::CountReason, Transient::LogLine>;
 using Effects = std::vector<Effect>;
 using Common::append;
 
--- a/Source/Core/Runner/Runs.cpp
+++ b/Source/Core/Runner/Runs.cpp
@@ -21,15 +21,15 @@
 /// longest that one takes.
 constexpr std::int64_t RoomPauseMs = 50;
 
-Transient::Note runNote(const char *event, const Run &run, Common::Moment now,
-                        std::vector<std::pair<std::string, std::string>> more)
+Transient::LogLine runNote(const char *event, const Run &run, Common::Moment now,
+                           std::vector<std::pair<std::string, std::string>> more)
 {
-    Transient::Note note{event,
-                         {{"task", run.task},
-                          {"attempt", std::to_string(run.attempt)},
-                          {"run", std::to_string(run.number)},
-                          {"gateway", run.gateway},
-                          {"waited_ms", std::to_string(now.steadyMs - run.orderedMs)}}};
+    Transient::LogLine note{event,
+                            {{"task", run.task},
+                             {"attempt", std::to_string(run.attempt)},
+                             {"run", std::to_string(run.number)},
+                             {"gateway", run.gateway},
+                             {"waited_ms", std::to_string(now.steadyMs - run.orderedMs)}}};
     note.fields.insert(note.fields.end(), more.begin(), more.end());
     return note;
 }
--- a/Source/Core/Runner/Watch.cpp
+++ b/Source/Core/Runner/Watch.cpp
@@ -91,10 +91,10 @@
         return;
     }
     stray.nextStopMs = now.steadyMs + StrayRetryMs;
-    effects.emplace_back(Transient::Note{"stray_run_stopped",
-                                         {{"task", active.task},
-                                          {"run", std::to_string(active.number)},
-                                          {"percent", std::to_string(active.percent)}}});
+    effects.emplace_back(Transient::LogLine{"stray_run_stopped",
+                                            {{"task", active.task},
+                                             {"run", std::to_string(active.number)},
+                                             {"percent", std::to_string(active.percent)}}});
     effects.emplace_back(CallStop{active.task, active.number});
 }
 
@@ -150,8 +150,8 @@
 /// Another life shows itself in an observation before it has announced itself.
 void meetLife(RunnerState &state, Effects &effects, std::int64_t startedAtMs, Common::Moment now)
 {
-    effects.emplace_back(
-            Transient::Note{"backend_restarted", {{"started_at_ms", std::to_string(startedAtMs)}}});
+    effects.emplace_back(Transient::LogLine{"backend_restarted",
+                                            {{"started_at_ms", std::to_string(startedAtMs)}}});
     const Transient::BackendAnnouncement before = *state.backend;
     state.formerLives.erase({before.id, startedAtMs});
     state.backend->startedAtMs = startedAtMs;
@@ -169,7 +169,7 @@
     }
     state.isClean = true;
     effects.emplace_back(
-            Transient::Note{"backend_clean", {{"last_end", std::to_string(state.lastEnd)}}});
+            Transient::LogLine{"backend_clean", {{"last_end", std::to_string(state.lastEnd)}}});
     effects.emplace_back(Announce{});
 }
 
@@ -217,7 +217,7 @@
     becomeClean(state, effects);
     if (!state.isAlive) {
         state.isAlive = true;
-        effects.emplace_back(Transient::Note{"backend_regained", {}});
+        effects.emplace_back(Transient::LogLine{"backend_regained", {}});
         effects.emplace_back(Announce{});
     }
 }
@@ -256,7 +256,7 @@
     if (!state.isAlive) {
         return;
     }
-    effects.emplace_back(Transient::Note{
+    effects.emplace_back(Transient::LogLine{
             "backend_lost",
             {{"why", std::string(Common::nameOf(Transient::ObserveOutcomeNames, outcome))},
              {"silent_ms", std::to_string(now.steadyMs - state.silentSinceMs)},
@@ -291,7 +291,7 @@
     }
     const std::int64_t lapsedMs = lapseMs(state);
     const bool isGone =
-            outcome == ObserveOutcome::NotConnected || outcome == ObserveOutcome::OtherLife;
+            outcome == ObserveOutcome::NotConnected || outcome == ObserveOutcome::OtherIncarnation;
     const bool isOver =
             isSilentFor(state, lapsedMs, now) && now.steadyMs > lastGrantMs(state) + lapsedMs;
     if (isOver || isSilentFor(state, isGone ? lapsedMs : 2 * lapsedMs, now)) {
@@ -407,7 +407,7 @@
     }
     const Watch sent = found->second;
     state.watches.erase(found);
-    if (answer.outcome == ObserveOutcome::Seen) {
+    if (answer.outcome == ObserveOutcome::Observed) {
         takeObservation(state, effects, answer.seen, sent, now);
     } else {
         takeFailure(state, effects, answer.outcome, sent, now);
--- a/Source/Core/Transient/Admission.cpp
+++ b/Source/Core/Transient/Admission.cpp
@@ -12,38 +12,38 @@
 constexpr double LongestRetryMs = 10'000;
 /// Of one answer in the mean: a dozen answers, a third of a second of a queue's traffic on the
 /// smallest sites, show a change.
-constexpr double AnswerShare = 1.0 / 12;
+constexpr double AnswerWeight = 1.0 / 12;
 /// Without answers the correction is forgotten: a queue whose jobs are all refused would otherwise
 /// never learn that its predictions hold again. Two or three overloaded rounds of short jobs.
-constexpr double ForgetHalfLifeMs = 1000;
+constexpr double CorrectionHalfLifeMs = 1000;
 /// A single job may take a hundred times as long as predicted, when its backend server hangs.
-constexpr double MostLogStretch = 1.4;
+constexpr double MaxLogStretch = 1.4;
 
-double forgotten(const PredictionError &error, std::int64_t nowMs)
+double decayedLogStretch(const PredictionError &error, std::int64_t nowMs)
 {
     const auto idleMs = static_cast<double>(nowMs - error.observedMs);
-    return error.logStretch * std::exp2(-idleMs / ForgetHalfLifeMs);
+    return error.logStretch * std::exp2(-idleMs / CorrectionHalfLifeMs);
 }
 
 } // namespace
 
-void answerObserved(PredictionError &error, double predictedMs, double takenMs, std::int64_t nowMs)
+void observeAnswer(PredictionError &error, double predictedMs, double takenMs, std::int64_t nowMs)
 {
     const double logStretch = std::log(std::max(takenMs, 1.0) / std::max(predictedMs, 1.0));
-    const double bounded = std::clamp(logStretch, -MostLogStretch, MostLogStretch);
-    const double before = forgotten(error, nowMs);
-    error.logStretch = before + AnswerShare * (bounded - before);
+    const double bounded = std::clamp(logStretch, -MaxLogStretch, MaxLogStretch);
+    const double before = decayedLogStretch(error, nowMs);
+    error.logStretch = before + AnswerWeight * (bounded - before);
     error.observedMs = nowMs;
 }
 
 double expectedStretch(const PredictionError &error, std::int64_t nowMs)
 {
-    return std::exp(std::max(forgotten(error, nowMs), 0.0));
+    return std::exp(std::max(decayedLogStretch(error, nowMs), 0.0));
 }
 
 std::optional<JobResult> decideAdmission(const AdmissionLimits &limits, const AdmissionQuery &query)
 {
-    const double usefulMs = std::min(query.deadlineMs, query.targetMs * limits.mostLateness);
+    const double usefulMs = std::min(query.deadlineMs, query.targetMs * limits.maxLateness);
     if (!limits.refuses || query.waitMs <= 0 || query.predictedMs * query.stretch <= usefulMs) {
         return std::nullopt;
     }
--- a/Source/Core/Transient/Admission.h
+++ b/Source/Core/Transient/Admission.h
@@ -42,7 +42,7 @@
     std::int64_t observedMs = 0;
 };
 
-void answerObserved(PredictionError &error, double predictedMs, double takenMs, std::int64_t nowMs);
+void observeAnswer(PredictionError &error, double predictedMs, double takenMs, std::int64_t nowMs);
 
 /// By how much predictions have to be stretched; 1 where they hold or were too long.
 double expectedStretch(const PredictionError &error, std::int64_t nowMs);
@@ -50,7 +50,7 @@
 struct AdmissionLimits
 {
     /// A job that is expected to take more than this many times its target is refused.
-    double mostLateness = 1.0;
+    double maxLateness = 1.0;
     bool refuses = true;
     /// Baselines for tests: predictions count as they are, and every caller as fresh.
     bool correctsPredictions = true;
--- a/Source/Core/Transient/Admit.cpp
+++ b/Source/Core/Transient/Admit.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <random>
 
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 #include "Transient/Orphans.h"
 #include "Transient/Placement.h"
 
@@ -16,7 +16,7 @@
 constexpr double PercentOfOne = 100;
 /// A gateway that stops takes only what surely ends in time: the predictions are means, and the
 /// last of a handful of tasks takes up to twice as long.
-constexpr double StopSafety = 2;
+constexpr double StopSafetyFactor = 2;
 
 std::vector<double> stepRunsMs(const GatewayState &state, const JobRecord &job)
 {
@@ -50,17 +50,17 @@
         job.steps.push_back(std::move(step));
     }
     const double chainMs = longestChainMs(job.steps, stepRunsMs(state, job));
-    UsualPatience &usual = state.patiences[job.queue.name];
+    UsualRemainingTimeout &usual = state.patiences[job.queue.name];
     if (state.limits.countsWaiting) {
-        job.waitedBeforeMs = waitedBeforeMs(usual, submission.patienceMs);
+        job.waitedBeforeMs = waitedBeforeMs(usual, submission.remainingTimeoutMs);
     }
-    patienceSeen(usual, submission.patienceMs);
+    observeRemainingTimeout(usual, submission.remainingTimeoutMs);
     job.targetMs = now.steadyMs + static_cast<std::int64_t>(job.queue.latencyFactor * chainMs)
                    + job.queue.targetLatencyMs - job.waitedBeforeMs;
     const double usefulMs =
-            static_cast<double>(job.targetMs - now.steadyMs) * state.limits.mostLateness;
+            static_cast<double>(job.targetMs - now.steadyMs) * state.limits.maxLateness;
     job.lastStartMs = now.steadyMs + static_cast<std::int64_t>(usefulMs - chainMs);
-    job.deadlineMs = now.steadyMs + submission.patienceMs;
+    job.deadlineMs = now.steadyMs + submission.remainingTimeoutMs;
     return job;
 }
 
@@ -92,7 +92,7 @@
     Effects effects;
     inputs.insert(inputs.begin(), {{"job", job}, {"reason", Schema::enumName(result.reason)}});
     inputs.emplace_back("retry_after_ms", std::to_string(result.retryAfterMs));
-    effects.emplace_back(Note{"job_refused", std::move(inputs)});
+    effects.emplace_back(LogLine{"job_refused", std::move(inputs)});
     effects.emplace_back(CountReason{RefusalCounter, result.reason});
     effects.emplace_back(AnswerCaller{token, job, result});
     return effects;
@@ -102,7 +102,7 @@
                                         Common::Moment now)
 {
     const double leftMs = static_cast<double>(state.stopDeadlineMs - now.steadyMs);
-    if (!state.isStopping || query.predictedMs * query.stretch * StopSafety <= leftMs) {
+    if (!state.isStopping || query.predictedMs * query.stretch * StopSafetyFactor <= leftMs) {
         return std::nullopt;
     }
     return JobResult{JobOutcome::Refused, Reason::Stopping, RetryMs};
@@ -112,11 +112,11 @@
 std::optional<JobResult> refusalForLackOfBackends(const GatewayState &state, const JobRecord &job,
                                                   Common::Moment now)
 {
-    const bool allAble =
+    const bool allEligible =
             std::all_of(job.steps.begin(), job.steps.end(), [&state, &job](const StepRecord &step) {
-                return anyAble(state.fleet, job.queue.service, step.request);
+                return hasEligibleBackend(state.fleet, job.queue.service, step.request);
             });
-    if (allAble || now.steadyMs < state.startedMs + state.times.gatherMs) {
+    if (allEligible || now.steadyMs < state.startedMs + state.times.gatherMs) {
         return std::nullopt;
     }
     return JobResult{JobOutcome::Refused, Reason::NoBackend, RetryMs};
@@ -158,7 +158,7 @@
                         std::to_string(job.ready - static_cast<int>(placed.size())));
     job.predictedMs = query.predictedMs;
     Effects effects;
-    effects.emplace_back(Note{"job_accepted", std::move(inputs)});
+    effects.emplace_back(LogLine{"job_accepted", std::move(inputs)});
     state.readyTasks += job.ready;
     const std::string id = job.id;
     JobRecord &kept = state.jobs.emplace(id, std::move(job)).first->second;
--- a/Source/Core/Transient/Agents.cpp
+++ b/Source/Core/Transient/Agents.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 #include "Transient/Learned.h"
 
 /// Processes of agents that come and go, and what becomes of the tasks that they had.
@@ -89,8 +89,8 @@
             ++uncertain;
         }
     }
-    effects.emplace_back(
-            Note{"agent_settled", {{"agent", instance}, {"uncertain", std::to_string(uncertain)}}});
+    effects.emplace_back(LogLine{"agent_settled",
+                                 {{"agent", instance}, {"uncertain", std::to_string(uncertain)}}});
     return effects;
 }
 
@@ -116,13 +116,14 @@
 }
 
 template <typename Test>
-void forgetFormers(GatewayState &state, Test isOver)
+void removeFormerAgents(GatewayState &state, Test isOver)
 {
-    std::vector<FormerAgent> &formers = state.fleet.formers;
-    formers.erase(std::remove_if(formers.begin(), formers.end(), isOver), formers.end());
+    std::vector<FormerAgent> &formerAgents = state.fleet.formerAgents;
+    formerAgents.erase(std::remove_if(formerAgents.begin(), formerAgents.end(), isOver),
+                       formerAgents.end());
 }
 
-FormerAgent makeFormer(const GatewayState &state, const AgentView &agent)
+FormerAgent makeFormerAgent(const GatewayState &state, const AgentView &agent)
 {
     FormerAgent former;
     former.instance = agent.announced.instance;
@@ -135,17 +136,17 @@
 
 /// The agent \a name has told that nothing is left of its earlier processes, and that none of their
 /// orders is obeyed any more.
-Effects settleEarlier(GatewayState &state, const std::string &name, Common::Moment now,
-                      Common::Random &random)
+Effects settleCleanAgent(GatewayState &state, const std::string &name, Common::Moment now,
+                         Common::Random &random)
 {
     Effects effects;
     std::vector<std::string> over;
-    for (const FormerAgent &former : state.fleet.formers) {
+    for (const FormerAgent &former : state.fleet.formerAgents) {
         if (former.name == name) {
             over.push_back(former.instance);
         }
     }
-    forgetFormers(state, [&](const FormerAgent &former) { return former.name == name; });
+    removeFormerAgents(state, [&](const FormerAgent &former) { return former.name == name; });
     for (const std::string &earlier : over) {
         append(effects, settleAttempts(state, earlier, {}, AttemptPhase::Stopped, now, random));
     }
@@ -154,26 +155,26 @@
 
 } // namespace
 
-void forgetLost(GatewayState &state, Effects &effects, Common::Moment now)
+void removeLostAgents(GatewayState &state, Effects &effects, Common::Moment now)
 {
     for (auto entry = state.fleet.agents.begin(); entry != state.fleet.agents.end();) {
         const AgentView &agent = entry->second;
-        if (agent.isLinked || now.steadyMs < agent.settledAtMs) {
+        if (agent.isConnected || now.steadyMs < agent.settledAtMs) {
             ++entry;
             continue;
         }
-        effects.emplace_back(Note{"agent_forgotten", {{"agent", agent.announced.instance}}});
-        state.fleet.formers.push_back(makeFormer(state, agent));
+        effects.emplace_back(LogLine{"agent_forgotten", {{"agent", agent.announced.instance}}});
+        state.fleet.formerAgents.push_back(makeFormerAgent(state, agent));
         entry = state.fleet.agents.erase(entry);
     }
 }
 
-Effects settleFormers(GatewayState &state, Common::Moment now, Common::Random &random)
+Effects settleFormerAgents(GatewayState &state, Common::Moment now, Common::Random &random)
 {
     Effects effects;
     std::vector<std::string> over;
     std::vector<std::string> lapsed;
-    for (FormerAgent &former : state.fleet.formers) {
+    for (FormerAgent &former : state.fleet.formerAgents) {
         if (now.steadyMs >= former.lateStartsOverMs) {
             over.push_back(former.instance);
         } else if (!former.isSettled && now.steadyMs >= former.settledAtMs) {
@@ -181,7 +182,7 @@
             lapsed.push_back(former.instance);
         }
     }
-    forgetFormers(state, [now](const FormerAgent &former) {
+    removeFormerAgents(state, [now](const FormerAgent &former) {
         return now.steadyMs >= former.lateStartsOverMs;
     });
     for (const std::string &instance : lapsed) {
@@ -200,37 +201,37 @@
     const auto [entry, isNew] = state.fleet.agents.try_emplace(announcement.name);
     AgentView &agent = entry->second;
     const bool isRestarted = !isNew && agent.announced.instance != announcement.instance;
-    const bool isLink = !agent.isLinked || isRestarted;
-    if (isLink || agent.announced.accepting != announcement.accepting) {
-        effects.emplace_back(Note{"agent_announced",
-                                  {{"agent", announcement.instance},
-                                   {"accepting", announcement.accepting ? "true" : "false"},
-                                   {"processors", text(announcement.resources.processors)},
-                                   {"held", std::to_string(announcement.held.size())}}});
+    const bool isNewConnection = !agent.isConnected || isRestarted;
+    if (isNewConnection || agent.announced.accepting != announcement.accepting) {
+        effects.emplace_back(LogLine{"agent_announced",
+                                     {{"agent", announcement.instance},
+                                      {"accepting", announcement.accepting ? "true" : "false"},
+                                      {"processors", text(announcement.resources.processors)},
+                                      {"held", std::to_string(announcement.held.size())}}});
     }
     if (isRestarted) {
-        state.fleet.formers.push_back(makeFormer(state, agent));
+        state.fleet.formerAgents.push_back(makeFormerAgent(state, agent));
         agent.inFlight = 0;
         agent.unreported.clear();
         agent.unreportedProcessors = 0;
         agent.unreportedUrgentProcessors = 0;
     }
     // It was only out of reach: it tells itself what it still holds.
-    forgetFormers(state, [&announcement](const FormerAgent &former) {
+    removeFormerAgents(state, [&announcement](const FormerAgent &former) {
         return former.instance == announcement.instance;
     });
     agent.announced = announcement;
     agent.orphans = announcement.orphans.value_or(Schema::OrphanedJobs{});
-    agent.isLinked = true;
+    agent.isConnected = true;
     recallSpeedOf(state.fleet, agent);
     loadReported(agent, announcement.load, now.steadyMs);
-    if (isLink) {
+    if (isNewConnection) {
         append(effects, settleAttempts(state, announcement.instance, announcement.held,
                                        AttemptPhase::NotStarted, now, random));
         withdrawUnknown(state, effects, announcement);
     }
     if (announcement.clean) {
-        append(effects, settleEarlier(state, announcement.name, now, random));
+        append(effects, settleCleanAgent(state, announcement.name, now, random));
     }
     append(effects, placeWaiting(state, now, random));
     return effects;
@@ -255,20 +256,21 @@
     return effects;
 }
 
-Effects agentLinkLost(GatewayState &state, const std::string &instance, Common::Moment now)
+Effects handleAgentDisconnected(GatewayState &state, const std::string &instance,
+                                Common::Moment now)
 {
     Effects effects;
     AgentView *agent = findAgent(state.fleet, instance);
-    if (agent == nullptr || !agent->isLinked) {
+    if (agent == nullptr || !agent->isConnected) {
         return effects;
     }
-    agent->isLinked = false;
+    agent->isConnected = false;
     agent->settledAtMs = agent->loadAtMs + state.times.settleMs;
     effects.emplace_back(
-            Note{"agent_lost",
-                 {{"agent", instance},
-                  {"in_flight", std::to_string(agent->inFlight)},
-                  {"settled_in_ms", std::to_string(agent->settledAtMs - now.steadyMs)}}});
+            LogLine{"agent_lost",
+                    {{"agent", instance},
+                     {"in_flight", std::to_string(agent->inFlight)},
+                     {"settled_in_ms", std::to_string(agent->settledAtMs - now.steadyMs)}}});
     return effects;
 }
 
--- a/Source/Core/Transient/Answers.cpp
+++ b/Source/Core/Transient/Answers.cpp
@@ -1,4 +1,4 @@
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 
 /// How a job ends: its answer, what is withdrawn for it, and how long it is remembered.
 namespace Transient {
@@ -40,7 +40,7 @@
     }
 }
 
-void forgetIfSettled(GatewayState &state, const std::string &id, Common::Moment now)
+void removeIfSettled(GatewayState &state, const std::string &id, Common::Moment now)
 {
     const auto found = state.jobs.find(id);
     if (found == state.jobs.end() || !found->second.result || found->second.unsettled > 0) {
@@ -50,10 +50,10 @@
     const bool isAnswer =
             result.outcome == JobOutcome::Succeeded || result.outcome == JobOutcome::Failed;
     if (isAnswer) {
-        state.finished[id] = {result, now.steadyMs + state.times.rememberMs};
+        state.finished[id] = {result, now.steadyMs + state.times.retentionMs};
     } else {
         state.formerAttempts[id] = {highestAttempt(found->second),
-                                    now.steadyMs + state.times.rememberMs};
+                                    now.steadyMs + state.times.retentionMs};
     }
     state.jobs.erase(found);
 }
@@ -81,18 +81,18 @@
     job.result = result;
     const double seconds = static_cast<double>(now.steadyMs - job.receivedMs) / MsPerSecond;
     effects.emplace_back(
-            Note{"job_ended",
-                 {{"job", job.id},
-                  {"queue", job.queue.name},
-                  {"outcome", std::string(Common::nameOf(JobOutcomeNames, result.outcome))},
-                  {"reason", Schema::enumName(result.reason)},
-                  {"after_ms", std::to_string(now.steadyMs - job.receivedMs)},
-                  {"target_ms", std::to_string(job.targetMs - job.receivedMs)},
-                  {"tasks_withdrawn", std::to_string(job.unsettled)}}});
+            LogLine{"job_ended",
+                    {{"job", job.id},
+                     {"queue", job.queue.name},
+                     {"outcome", std::string(Common::nameOf(JobOutcomeNames, result.outcome))},
+                     {"reason", Schema::enumName(result.reason)},
+                     {"after_ms", std::to_string(now.steadyMs - job.receivedMs)},
+                     {"target_ms", std::to_string(job.targetMs - job.receivedMs)},
+                     {"tasks_withdrawn", std::to_string(job.unsettled)}}});
     effects.emplace_back(CountReason{EndCounter, result.reason});
     if (result.outcome == JobOutcome::Succeeded) {
-        answerObserved(state.predictionErrors[job.queue.name], job.predictedMs,
-                       static_cast<double>(now.steadyMs - job.receivedMs), now.steadyMs);
+        observeAnswer(state.predictionErrors[job.queue.name], job.predictedMs,
+                      static_cast<double>(now.steadyMs - job.receivedMs), now.steadyMs);
         effects.emplace_back(ObserveSeconds{AnswerSeconds, job.queue.name, seconds});
     }
     answerAll(effects, job, result);
--- a/Source/Core/Transient/Attempts.cpp
+++ b/Source/Core/Transient/Attempts.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 
 /// What becomes of a task at an agent, and what follows for its job.
 namespace Transient {
@@ -21,8 +21,8 @@
     if (agent != state.fleet.agents.end()) {
         agent->second.inFlight = std::max<std::int64_t>(0, agent->second.inFlight - 1);
     }
-    const auto there = step.tasksThere.find(task.agent);
-    if (there != step.tasksThere.end() && there->second > 0) {
+    const auto there = step.tasksByAgent.find(task.agent);
+    if (there != step.tasksByAgent.end() && there->second > 0) {
         --there->second;
     }
 }
@@ -40,27 +40,29 @@
     }
 }
 
-Note retryNote(const JobRecord &job, const TaskRecord &task, const Schema::AttemptState &reported)
+LogLine retryLogLine(const JobRecord &job, const TaskRecord &task,
+                     const Schema::AttemptState &reported)
 {
-    return Note{"task_retried",
-                {{"job", job.id},
-                 {"task", reported.task},
-                 {"attempt", std::to_string(reported.attempt)},
-                 {"agent", task.agent},
-                 {"phase", Schema::enumName(reported.phase)},
-                 {"reason", Schema::enumName(reported.reason)},
-                 {"run_ms", std::to_string(reported.runMs)},
-                 {"failures", std::to_string(task.failures)}}};
+    return LogLine{"task_retried",
+                   {{"job", job.id},
+                    {"task", reported.task},
+                    {"attempt", std::to_string(reported.attempt)},
+                    {"agent", task.agent},
+                    {"phase", Schema::enumName(reported.phase)},
+                    {"reason", Schema::enumName(reported.reason)},
+                    {"run_ms", std::to_string(reported.runMs)},
+                    {"failures", std::to_string(task.failures)}}};
 }
 
-void learn(GatewayState &state, Effects &effects, const StepRecord &step, const TaskRecord &task,
-           const Schema::AttemptState &reported, Common::Moment now)
+void learnFromAttempt(GatewayState &state, Effects &effects, const StepRecord &step,
+                      const TaskRecord &task, const Schema::AttemptState &reported,
+                      Common::Moment now)
 {
     const auto agent = state.fleet.agents.find(task.agent);
-    const bool tells = reported.phase == AttemptPhase::Succeeded
-                       || reported.phase == AttemptPhase::Failed
-                       || reported.reason == Reason::BackendRefused;
-    if (agent == state.fleet.agents.end() || !tells) {
+    const bool isInformative = reported.phase == AttemptPhase::Succeeded
+                               || reported.phase == AttemptPhase::Failed
+                               || reported.reason == Reason::BackendRefused;
+    if (agent == state.fleet.agents.end() || !isInformative) {
         return;
     }
     RunOutcome outcome;
@@ -68,7 +70,7 @@
     outcome.expectedMs = task.expectedMs;
     outcome.runMs = reported.runMs;
     if (runEnded(state.fleet, agent->second, step.profile, outcome, now.steadyMs)) {
-        effects.emplace_back(Note{
+        effects.emplace_back(LogLine{
                 "backend_ejected",
                 {{"agent", task.agent},
                  {"task", reported.task},
@@ -101,7 +103,7 @@
                endJob(state, job, {JobOutcome::Failed, Reason::AttemptsExhausted, 0}, now));
         return;
     }
-    effects.emplace_back(retryNote(job, task, reported));
+    effects.emplace_back(retryLogLine(job, task, reported));
     effects.emplace_back(CountReason{RetryCounter, Reason::TaskFailed});
     retryTask(state, job, task, true);
 }
@@ -109,7 +111,7 @@
 void taskGivenBack(GatewayState &state, Effects &effects, JobRecord &job, TaskRecord &task,
                    const Schema::AttemptState &reported, Common::Moment now)
 {
-    effects.emplace_back(retryNote(job, task, reported));
+    effects.emplace_back(retryLogLine(job, task, reported));
     effects.emplace_back(CountReason{RetryCounter, reported.reason});
     const bool isFull = reported.reason == Reason::NoRoom;
     if (isFull) {
@@ -146,7 +148,7 @@
         return effects;
     }
     StepRecord &step = job.steps[static_cast<std::size_t>(ref->step)];
-    learn(state, effects, step, *task, reported, now);
+    learnFromAttempt(state, effects, step, *task, reported, now);
     releaseTask(state, job, step, *task);
     if (reported.phase == AttemptPhase::Succeeded) {
         taskSucceeded(state, effects, job, step, *task, now);
@@ -161,7 +163,7 @@
         append(effects, placeAndOrder(state, job, now, random));
     }
     const std::string id = job.id;
-    forgetIfSettled(state, id, now);
+    removeIfSettled(state, id, now);
     append(effects, admitParked(state, id, now, random));
     return effects;
 }
--- a/Source/Core/Transient/Backend.h
+++ b/Source/Core/Transient/Backend.h
@@ -52,7 +52,7 @@
     /// Did nothing: it is overloaded or unhealthy.
     Refused,
     /// Another life of the backend server answered.
-    OtherLife,
+    OtherIncarnation,
     /// Nothing listens there.
     NotConnected,
     /// May have been carried out, or may still be.
@@ -67,7 +67,7 @@
          {StartOutcome::Fenced, "fenced"},
          {StartOutcome::Malformed, "malformed"},
          {StartOutcome::Refused, "refused"},
-         {StartOutcome::OtherLife, "other_life"},
+         {StartOutcome::OtherIncarnation, "other_life"},
          {StartOutcome::NotConnected, "not_connected"},
          {StartOutcome::Unanswered, "unanswered"}}};
 
@@ -112,12 +112,12 @@
     std::vector<EndedRun> ended;
 };
 
-enum class ObserveOutcome { Seen, Fenced, OtherLife, Refused, NotConnected, Unanswered };
+enum class ObserveOutcome { Observed, Fenced, OtherIncarnation, Refused, NotConnected, Unanswered };
 
 constexpr Common::NameTable<ObserveOutcome, 6> ObserveOutcomeNames{
-        {{ObserveOutcome::Seen, "seen"},
+        {{ObserveOutcome::Observed, "seen"},
          {ObserveOutcome::Fenced, "fenced"},
-         {ObserveOutcome::OtherLife, "other_life"},
+         {ObserveOutcome::OtherIncarnation, "other_life"},
          {ObserveOutcome::Refused, "refused"},
          {ObserveOutcome::NotConnected, "not_connected"},
          {ObserveOutcome::Unanswered, "unanswered"}}};
--- a/Source/Core/Transient/Decisions.cpp
+++ b/Source/Core/Transient/Decisions.cpp
@@ -23,7 +23,7 @@
         state.times.gatherMs = 0;
         break;
     case GatewayDecision::LearnedMemory:
-        state.remembers = false;
+        state.storesLearned = false;
         break;
     case GatewayDecision::WaitForecasts:
         fleet.usesForecasts = false;
--- a/Source/Core/Transient/Discovery.cpp
+++ b/Source/Core/Transient/Discovery.cpp
@@ -14,10 +14,10 @@
 constexpr int QuickRedials = 12;
 constexpr std::int64_t FirstRedialMs = 100;
 constexpr std::int64_t LongestRedialMs = 1000;
-constexpr int MostDoublings = 4;
+constexpr int MaxDoublings = 4;
 /// An address that only hearsay names is given up after so long without an answer: by then whoever
 /// has its machine's successor at another address has told of that.
-constexpr std::int64_t GiveUpMs = 20'000;
+constexpr std::int64_t AddressExpiryMs = 20'000;
 
 } // namespace
 
@@ -33,22 +33,22 @@
     return discovery;
 }
 
-void gatewayTold(Discovery &discovery, const std::string &address, Common::Moment now)
+void addGateway(Discovery &discovery, const std::string &address, Common::Moment now)
 {
     if (address == discovery.self) {
         return;
     }
     const auto [entry, isNew] = discovery.gateways.try_emplace(address);
     if (isNew) {
-        entry->second.heardMs = now.steadyMs;
+        entry->second.lastActiveMs = now.steadyMs;
     }
 }
 
-void gatewaysTold(Discovery &discovery, const std::vector<Schema::Member> &gateways,
-                  Common::Moment now)
+void addGateways(Discovery &discovery, const std::vector<Schema::Member> &gateways,
+                 Common::Moment now)
 {
     for (const Schema::Member &gateway : gateways) {
-        gatewayTold(discovery, addressOf(gateway), now);
+        addGateway(discovery, addressOf(gateway), now);
     }
 }
 
@@ -57,8 +57,8 @@
     std::vector<std::string> due;
     for (auto entry = discovery.gateways.begin(); entry != discovery.gateways.end();) {
         KnownGateway &gateway = entry->second;
-        const bool isIdle = !gateway.isLinked && !gateway.isDialling;
-        if (isIdle && !gateway.isSeed && now.steadyMs - gateway.heardMs > GiveUpMs) {
+        const bool isIdle = !gateway.isConnected && !gateway.isDialling;
+        if (isIdle && !gateway.isSeed && now.steadyMs - gateway.lastActiveMs > AddressExpiryMs) {
             entry = discovery.gateways.erase(entry);
             continue;
         }
@@ -71,13 +71,13 @@
     return due;
 }
 
-void gatewayLinked(Discovery &discovery, const std::string &address, Common::Moment now)
+void gatewayConnected(Discovery &discovery, const std::string &address, Common::Moment now)
 {
     KnownGateway &gateway = discovery.gateways[address];
-    gateway.isLinked = true;
+    gateway.isConnected = true;
     gateway.isDialling = false;
     gateway.failures = 0;
-    gateway.heardMs = now.steadyMs;
+    gateway.lastActiveMs = now.steadyMs;
 }
 
 void dialEnded(Discovery &discovery, const std::string &address, Common::Moment now)
@@ -87,12 +87,12 @@
         return;
     }
     KnownGateway &gateway = found->second;
-    if (gateway.isLinked) {
-        gateway.heardMs = now.steadyMs;
+    if (gateway.isConnected) {
+        gateway.lastActiveMs = now.steadyMs;
     }
-    gateway.isLinked = false;
+    gateway.isConnected = false;
     gateway.isDialling = false;
-    const int doublings = std::clamp(gateway.failures - QuickRedials, 0, MostDoublings);
+    const int doublings = std::clamp(gateway.failures - QuickRedials, 0, MaxDoublings);
     gateway.nextDialMs = now.steadyMs + std::min(FirstRedialMs << doublings, LongestRedialMs);
     gateway.failures += 1;
 }
@@ -101,7 +101,7 @@
 {
     std::int64_t next = std::numeric_limits<std::int64_t>::max();
     for (const auto &[address, gateway] : discovery.gateways) {
-        if (!gateway.isLinked && !gateway.isDialling) {
+        if (!gateway.isConnected && !gateway.isDialling) {
             next = std::min(next, gateway.nextDialMs);
         }
     }
--- a/Source/Core/Transient/Discovery.h
+++ b/Source/Core/Transient/Discovery.h
@@ -21,10 +21,10 @@
 {
     /// Named in the settings: never given up.
     bool isSeed = false;
-    bool isLinked = false;
+    bool isConnected = false;
     bool isDialling = false;
     std::int64_t nextDialMs = 0;
-    std::int64_t heardMs = 0;
+    std::int64_t lastActiveMs = 0;
     int failures = 0;
 };
 
@@ -38,15 +38,15 @@
 Discovery makeDiscovery(const std::string &self, const std::vector<std::string> &seeds);
 
 /// Somebody has told of a gateway at \a address.
-void gatewayTold(Discovery &discovery, const std::string &address, Common::Moment now);
+void addGateway(Discovery &discovery, const std::string &address, Common::Moment now);
 
 /// The same of several.
-void gatewaysTold(Discovery &discovery, const std::vector<Schema::Member> &gateways,
-                  Common::Moment now);
+void addGateways(Discovery &discovery, const std::vector<Schema::Member> &gateways,
+                 Common::Moment now);
 
-/// Addresses to dial now; each is then being dialled until gatewayLinked() or dialEnded().
+/// Addresses to dial now; each is then being dialled until gatewayConnected() or dialEnded().
 std::vector<std::string> gatewaysToDial(Discovery &discovery, Common::Moment now);
-void gatewayLinked(Discovery &discovery, const std::string &address, Common::Moment now);
+void gatewayConnected(Discovery &discovery, const std::string &address, Common::Moment now);
 /// The attempt came to nothing, or the link is gone.
 void dialEnded(Discovery &discovery, const std::string &address, Common::Moment now);
 
--- a/Source/Core/Transient/Effects.h
+++ b/Source/Core/Transient/Effects.h
@@ -43,13 +43,13 @@
 };
 
 /// One log line.
-struct Note
+struct LogLine
 {
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
 
-using Effect = std::variant<SendToAgent, AnswerCaller, CountReason, ObserveSeconds, Note>;
+using Effect = std::variant<SendToAgent, AnswerCaller, CountReason, ObserveSeconds, LogLine>;
 using Effects = std::vector<Effect>;
 using Common::append;
 
--- a/Source/Core/Transient/Fleet.cpp
+++ b/Source/Core/Transient/Fleet.cpp
@@ -33,9 +33,9 @@
     return nullptr;
 }
 
-bool takesWork(const AgentView &agent, const std::string &service, std::int64_t nowMs)
+bool acceptsTasks(const AgentView &agent, const std::string &service, std::int64_t nowMs)
 {
-    if (!agent.isLinked || !agent.announced.accepting || agent.announced.service != service
+    if (!agent.isConnected || !agent.announced.accepting || agent.announced.service != service
         || nowMs < agent.pausedUntilMs) {
         return false;
     }
@@ -69,14 +69,15 @@
     }
 }
 
-bool isUrgentThere(const AgentView &agent, std::int64_t priority)
+bool hasUrgentPriority(const AgentView &agent, std::int64_t priority)
 {
     return priority <= agent.load.urgentPriority;
 }
 
-std::int64_t ordered(AgentView &agent, double processors, std::int64_t priority, std::int64_t tasks)
+std::int64_t countOrder(AgentView &agent, double processors, std::int64_t priority,
+                        std::int64_t tasks)
 {
-    const bool isUrgent = isUrgentThere(agent, priority);
+    const bool isUrgent = hasUrgentPriority(agent, priority);
     agent.unreported.push_back({++agent.lastSequence, processors, isUrgent});
     agent.unreportedProcessors += processors;
     agent.unreportedUrgentProcessors += isUrgent ? processors : 0;
--- a/Source/Core/Transient/Fleet.h
+++ b/Source/Core/Transient/Fleet.h
@@ -30,7 +30,7 @@
 struct AgentView
 {
     Schema::AgentAnnouncement announced;
-    bool isLinked = false;
+    bool isConnected = false;
     Schema::AgentLoad load;
     std::int64_t lastSequence = 0;
     /// Orders that the load does not count yet.
@@ -88,9 +88,9 @@
     /// By the agent's name, which it keeps when it starts again. Iterated in the order of names, so
     /// that a seed replays.
     std::map<std::string, AgentView> agents;
-    std::vector<FormerAgent> formers;
+    std::vector<FormerAgent> formerAgents;
     /// Speeds that other gateways had learned, by the agent's name.
-    std::map<std::string, Schema::LearnedSpeed> remembered;
+    std::map<std::string, Schema::LearnedSpeed> recalledSpeeds;
     Dispatch::Estimates estimates;
 };
 
@@ -98,7 +98,7 @@
 AgentView *findAgent(Fleet &fleet, const std::string &instance);
 
 /// True where the agent takes tasks of \a service at present.
-bool takesWork(const AgentView &agent, const std::string &service, std::int64_t nowMs);
+bool acceptsTasks(const AgentView &agent, const std::string &service, std::int64_t nowMs);
 
 double committedProcessors(const AgentView &agent);
 /// Room for more, as far as is known; may be negative.
@@ -106,10 +106,10 @@
 
 void loadReported(AgentView &agent, const Schema::AgentLoad &load, std::int64_t nowMs);
 /// Tasks of this priority pass all others that wait at the agent.
-bool isUrgentThere(const AgentView &agent, std::int64_t priority);
+bool hasUrgentPriority(const AgentView &agent, std::int64_t priority);
 /// Counts an order of \a tasks tasks; returns its sequence.
-std::int64_t ordered(AgentView &agent, double processors, std::int64_t priority,
-                     std::int64_t tasks);
+std::int64_t countOrder(AgentView &agent, double processors, std::int64_t priority,
+                        std::int64_t tasks);
 
 struct RunOutcome
 {
--- a/Source/Core/Transient/JobTable.h
+++ b/Source/Core/Transient/JobTable.h
@@ -50,7 +50,7 @@
     std::vector<TaskRecord> tasks;
     int succeeded = 0;
     /// Tasks that are with an agent, by its name.
-    std::map<std::string, int> tasksThere;
+    std::map<std::string, int> tasksByAgent;
 };
 
 struct JobRecord
--- a/Source/Core/Transient/Jobs.cpp
+++ b/Source/Core/Transient/Jobs.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 #include "Transient/Orphans.h"
 #include "Transient/Resubmission.h"
 
@@ -17,13 +17,13 @@
 constexpr std::int64_t SweepMs = 20;
 constexpr std::int64_t LateTimersMs = 170;
 
-/// Jobs without an answer for which \a isMeant, in a fixed order, so that a seed replays.
+/// Jobs without an answer for which \a isSelected, in a fixed order, so that a seed replays.
 template <typename Test>
-std::vector<std::string> openJobs(const GatewayState &state, Test isMeant)
+std::vector<std::string> openJobs(const GatewayState &state, Test isSelected)
 {
     std::vector<std::string> open;
     for (const auto &[id, job] : state.jobs) {
-        if (!job.result && isMeant(job)) {
+        if (!job.result && isSelected(job)) {
             open.push_back(id);
         }
     }
@@ -39,7 +39,7 @@
     const JobResult result = job.anyOrdered ? JobResult{JobOutcome::GaveUp, gaveUp, 0}
                                             : JobResult{JobOutcome::Refused, refused, RetryMs};
     Effects effects = endJob(state, job, result, now);
-    forgetIfSettled(state, id, now);
+    removeIfSettled(state, id, now);
     return effects;
 }
 
@@ -56,8 +56,8 @@
     for (const auto &[id, waiting] : state.parked) {
         for (const Submission &submission : waiting) {
             effects.emplace_back(
-                    Note{"parked_job_given_up",
-                         {{"job", id}, {"reason", Schema::enumName(Reason::Stopping)}}});
+                    LogLine{"parked_job_given_up",
+                            {{"job", id}, {"reason", Schema::enumName(Reason::Stopping)}}});
             effects.emplace_back(
                     AnswerCaller{submission.token, id, {JobOutcome::GaveUp, Reason::Stopping, 0}});
         }
@@ -83,18 +83,18 @@
     return effects;
 }
 
-template <typename Remembered>
-void forgetOld(std::unordered_map<std::string, Remembered> &remembered, Common::Moment now)
+template <typename Record>
+void removeExpired(std::unordered_map<std::string, Record> &records, Common::Moment now)
 {
-    for (auto entry = remembered.begin(); entry != remembered.end();) {
-        entry = now.steadyMs >= entry->second.forgetMs ? remembered.erase(entry) : std::next(entry);
+    for (auto entry = records.begin(); entry != records.end();) {
+        entry = now.steadyMs >= entry->second.expiresAtMs ? records.erase(entry) : std::next(entry);
     }
 }
 
-void forgetFinished(GatewayState &state, Common::Moment now)
+void removeExpiredRecords(GatewayState &state, Common::Moment now)
 {
-    forgetOld(state.finished, now);
-    forgetOld(state.formerAttempts, now);
+    removeExpired(state.finished, now);
+    removeExpired(state.formerAttempts, now);
 }
 
 } // namespace
@@ -116,7 +116,7 @@
     const std::string id = submission.request.id;
     const auto finished = state.finished.find(id);
     if (finished != state.finished.end()) {
-        effects.emplace_back(Note{"job_answered_again", {{"job", id}}});
+        effects.emplace_back(LogLine{"job_answered_again", {{"job", id}}});
         effects.emplace_back(AnswerCaller{submission.token, id, finished->second.result});
         return effects;
     }
@@ -125,16 +125,16 @@
         if (!isOrphaned(state, id, now)) {
             return admit(state, std::move(submission), now, random);
         }
-        effects.emplace_back(Note{"job_parked", {{"job", id}, {"orphaned", "true"}}});
+        effects.emplace_back(LogLine{"job_parked", {{"job", id}, {"orphaned", "true"}}});
         state.parked[id].push_back(std::move(submission));
         return effects;
     }
     JobRecord &job = found->second;
     if (!job.result) {
-        effects.emplace_back(Note{"job_joined",
-                                  {{"job", id},
-                                   {"requests", std::to_string(job.tokens.size() + 1)},
-                                   {"age_ms", std::to_string(now.steadyMs - job.receivedMs)}}});
+        effects.emplace_back(LogLine{"job_joined",
+                                     {{"job", id},
+                                      {"requests", std::to_string(job.tokens.size() + 1)},
+                                      {"age_ms", std::to_string(now.steadyMs - job.receivedMs)}}});
         job.tokens.push_back(submission.token);
         return effects;
     }
@@ -143,7 +143,7 @@
         return effects;
     }
     effects.emplace_back(
-            Note{"job_parked", {{"job", id}, {"unsettled", std::to_string(job.unsettled)}}});
+            LogLine{"job_parked", {{"job", id}, {"unsettled", std::to_string(job.unsettled)}}});
     state.parked[id].push_back(std::move(submission));
     return effects;
 }
@@ -167,7 +167,7 @@
         }
         const std::string key = id;
         Effects effects = endJob(state, job, {JobOutcome::GaveUp, Reason::CallerGone, 0}, now);
-        forgetIfSettled(state, key, now);
+        removeIfSettled(state, key, now);
         return effects;
     }
     return {};
@@ -180,7 +180,7 @@
         return {};
     }
     Effects effects = endJob(state, found->second, {JobOutcome::GaveUp, Reason::Cancelled, 0}, now);
-    forgetIfSettled(state, id, now);
+    removeIfSettled(state, id, now);
     return effects;
 }
 
@@ -198,15 +198,15 @@
     }
     state.sweptMs = now.steadyMs;
     advanceFleet(state.fleet, now.steadyMs);
-    forgetLost(state, effects, now);
-    append(effects, settleFormers(state, now, random));
+    removeLostAgents(state, effects, now);
+    append(effects, settleFormerAgents(state, now, random));
     append(effects, endOverdue(state, now, random));
     append(effects, admitReleased(state, now, random));
     if (state.isStopping && now.steadyMs >= state.stopDeadlineMs) {
         append(effects, endAll(state, now));
     }
     append(effects, placeWaiting(state, now, random));
-    forgetFinished(state, now);
+    removeExpiredRecords(state, now);
     return effects;
 }
 
@@ -220,7 +220,7 @@
         }
     }
     for (const auto &[name, agent] : state.fleet.agents) {
-        if (!agent.isLinked) {
+        if (!agent.isConnected) {
             next = std::min(next, agent.settledAtMs);
         }
     }
--- a/Source/Core/Transient/Jobs.h
+++ b/Source/Core/Transient/Jobs.h
@@ -11,7 +11,7 @@
 #include "Transient/Effects.h"
 #include "Transient/Fleet.h"
 #include "Transient/JobTable.h"
-#include "Transient/Patience.h"
+#include "Transient/RemainingTimeout.h"
 
 /// What a gateway does with transient jobs: one state machine that every event goes through, in the
 /// order in which the control thread meets it.
@@ -37,7 +37,7 @@
     /// Time on the wire and in queues of the programs, from the caller and back.
     double overheadMs = 15;
     /// A job's answer is remembered for so long: callers repeat requests that are on their way.
-    std::int64_t rememberMs = 5000;
+    std::int64_t retentionMs = 5000;
 };
 
 /// How long an agent that is gone is waited for, where it acts on what it last heard of a gateway
@@ -51,7 +51,7 @@
     Schema::JobQueue queue;
     JobRequest request;
     /// How long its caller waits.
-    std::int64_t patienceMs = 0;
+    std::int64_t remainingTimeoutMs = 0;
 };
 
 /// The highest attempt of a job's last life here. Agents tell recent ends again on a new link:
@@ -60,13 +60,13 @@
 struct FormerAttempts
 {
     std::int64_t highest = 0;
-    std::int64_t forgetMs = 0;
+    std::int64_t expiresAtMs = 0;
 };
 
 struct FinishedJob
 {
     JobResult result;
-    std::int64_t forgetMs = 0;
+    std::int64_t expiresAtMs = 0;
 };
 
 struct GatewayState
@@ -81,7 +81,7 @@
     /// By queue.
     std::unordered_map<std::string, PredictionError> predictionErrors;
     /// By queue.
-    std::map<std::string, UsualPatience> patiences;
+    std::map<std::string, UsualRemainingTimeout> patiences;
     std::unordered_map<std::string, JobRecord> jobs;
     std::unordered_map<std::string, FinishedJob> finished;
     std::unordered_map<std::string, FormerAttempts> formerAttempts;
@@ -91,7 +91,7 @@
     /// Submissions of ids whose last life is not over yet.
     std::unordered_map<std::string, std::vector<Submission>> parked;
     /// What was learned is kept in the store and read at the start.
-    bool remembers = true;
+    bool storesLearned = true;
     std::int64_t sweptMs = 0;
     /// Tasks that wait for an agent.
     int readyTasks = 0;
@@ -110,7 +110,8 @@
 Effects agentReported(GatewayState &state, const std::string &instance,
                       const Schema::AgentReport &report, Common::Moment now,
                       Common::Random &random);
-Effects agentLinkLost(GatewayState &state, const std::string &instance, Common::Moment now);
+Effects handleAgentDisconnected(GatewayState &state, const std::string &instance,
+                                Common::Moment now);
 
 void beginStop(GatewayState &state, std::int64_t timeoutMs, Common::Moment now);
 
--- a/Source/Core/Transient/JobsParts.h
+++ b/Source/Core/Transient/JobsInternal.h
@@ -60,12 +60,12 @@
 /// Decides the job's answer. Its tasks that are with agents are withdrawn; the job is kept until
 /// each is over.
 Effects endJob(GatewayState &state, JobRecord &job, const JobResult &result, Common::Moment now);
-void forgetIfSettled(GatewayState &state, const std::string &id, Common::Moment now);
+void removeIfSettled(GatewayState &state, const std::string &id, Common::Moment now);
 
 // Agents.cpp: processes of agents that come and go
 
-void forgetLost(GatewayState &state, Effects &effects, Common::Moment now);
+void removeLostAgents(GatewayState &state, Effects &effects, Common::Moment now);
 /// Lost processes of agents, as far as time tells what became of their tasks.
-Effects settleFormers(GatewayState &state, Common::Moment now, Common::Random &random);
+Effects settleFormerAgents(GatewayState &state, Common::Moment now, Common::Random &random);
 
 } // namespace Transient
--- a/Source/Core/Transient/Learned.cpp
+++ b/Source/Core/Transient/Learned.cpp
@@ -17,11 +17,12 @@
 constexpr std::int64_t ReadUntilMs = 10'000;
 
 /// Longer than any caller waits: a figure beyond it was not learned.
-constexpr double LongestPatienceMs = 300'000;
+constexpr double LongestRemainingTimeoutMs = 300'000;
 
-bool isPlausible(const Schema::LearnedPatience &patience)
+bool isPlausible(const Schema::LearnedPatience &remainingTimeout)
 {
-    return patience.usualMs > 0 && patience.usualMs <= LongestPatienceMs && patience.samples > 0;
+    return remainingTimeout.usualMs > 0 && remainingTimeout.usualMs <= LongestRemainingTimeoutMs
+           && remainingTimeout.samples > 0;
 }
 
 std::int64_t pauseMs(const Fleet &fleet)
@@ -48,8 +49,8 @@
                     {name, agent.announced.labels, agent.speed.logFactor, agent.speed.samples});
         }
     }
-    for (const auto &[queue, patience] : state.patiences) {
-        learned.patiences.push_back({queue, patience.samples, patience.usualMs});
+    for (const auto &[queue, remainingTimeout] : state.patiences) {
+        learned.patiences.push_back({queue, remainingTimeout.samples, remainingTimeout.usualMs});
     }
     return learned;
 }
@@ -58,7 +59,7 @@
 {
     Fleet &fleet = state.fleet;
     for (const Schema::LearnedPatience &recalled : learned.patiences) {
-        UsualPatience &known = state.patiences[recalled.queue];
+        UsualRemainingTimeout &known = state.patiences[recalled.queue];
         if (isPlausible(recalled) && known.samples < recalled.samples) {
             known = {recalled.usualMs, recalled.samples};
         }
@@ -68,7 +69,7 @@
                                 {profile.key, profile.meanMs, profile.meanLog, profile.samples});
     }
     for (const Schema::LearnedSpeed &speed : learned.speeds) {
-        fleet.remembered.emplace(speed.agent, speed);
+        fleet.recalledSpeeds.emplace(speed.agent, speed);
     }
     for (auto &[name, agent] : fleet.agents) {
         recallSpeedOf(fleet, agent);
@@ -77,8 +78,8 @@
 
 void recallSpeedOf(Fleet &fleet, AgentView &agent)
 {
-    const auto found = fleet.remembered.find(agent.announced.name);
-    if (found == fleet.remembered.end() || found->second.labels != agent.announced.labels) {
+    const auto found = fleet.recalledSpeeds.find(agent.announced.name);
+    if (found == fleet.recalledSpeeds.end() || found->second.labels != agent.announced.labels) {
         return;
     }
     Dispatch::recallSpeed(agent.speed, {found->second.logFactor, found->second.samples});
--- a/Source/Core/Transient/Orders.cpp
+++ b/Source/Core/Transient/Orders.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <tuple>
 
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 #include "Transient/Placement.h"
 
 /// Tasks on their way to agents.
@@ -35,7 +35,7 @@
         query.step = &step.request;
         query.runMs = Dispatch::meanRunMs(state.fleet.estimates, step.profile);
         query.priority = job.queue.priority;
-        query.tasksThere = &step.tasksThere;
+        query.tasksByAgent = &step.tasksByAgent;
         for (std::size_t index = 0; index < step.tasks.size(); ++index) {
             const TaskRecord &task = step.tasks[index];
             if (task.phase != TaskPhase::Ready) {
@@ -48,7 +48,7 @@
             }
             state.fleet.agents.at(placement->agent).tentativeProcessors +=
                     step.request.resources.processors;
-            ++step.tasksThere[placement->agent];
+            ++step.tasksByAgent[placement->agent];
             placed.push_back({static_cast<int>(stepIndex), static_cast<int>(index), *placement});
         }
     }
@@ -60,7 +60,7 @@
     for (const PlacedTask &one : placed) {
         StepRecord &step = job.steps[static_cast<std::size_t>(one.step)];
         state.fleet.agents.at(one.placement.agent).tentativeProcessors = 0;
-        --step.tasksThere[one.placement.agent];
+        --step.tasksByAgent[one.placement.agent];
     }
 }
 
@@ -96,7 +96,7 @@
         AgentView &agent = state.fleet.agents.at(key.first);
         const auto tasks = static_cast<std::int64_t>(orders.tasks.size());
         const double processors = orders.resources.processors * static_cast<double>(tasks);
-        orders.sequence = ordered(agent, processors, orders.priority, tasks);
+        orders.sequence = countOrder(agent, processors, orders.priority, tasks);
         orders.echoMs = agent.load.sentMs;
         Schema::Frame frame = frameOf(Schema::FrameType::TaskOrders);
         frame.taskOrders = std::move(orders);
--- a/Source/Core/Transient/Orphans.cpp
+++ b/Source/Core/Transient/Orphans.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 
 namespace Transient {
 
@@ -76,7 +76,7 @@
         list.add(agent.orphans.held, agent.loadAtMs + state.times.settleMs);
         list.add(agent.orphans.unanswered, agent.loadAtMs + state.times.lateStartMs);
     }
-    for (const FormerAgent &former : state.fleet.formers) {
+    for (const FormerAgent &former : state.fleet.formerAgents) {
         list.add(former.orphans.held, former.settledAtMs);
         list.add(former.orphans.unanswered, former.lateStartsOverMs);
     }
@@ -103,7 +103,7 @@
     return isRelayed(state, id, now)
            || std::any_of(fleet.agents.begin(), fleet.agents.end(),
                           [&](const auto &entry) { return isHeldBy(entry.second, id); })
-           || std::any_of(fleet.formers.begin(), fleet.formers.end(),
+           || std::any_of(fleet.formerAgents.begin(), fleet.formerAgents.end(),
                           [&](const FormerAgent &former) { return isHeldBy(former, id, now); });
 }
 
--- a/Source/Core/Transient/Placement.cpp
+++ b/Source/Core/Transient/Placement.cpp
@@ -12,7 +12,7 @@
 constexpr double RemoteDataFactor = 1.5;
 /// Costs within this of each other count as the same, and chance decides: several
 /// gateways would otherwise all choose the same backend server between two reports of its load.
-constexpr double TieMs = 4;
+constexpr double TieToleranceMs = 4;
 /// A task that waits makes all wait that come after it, and its wait is less sure than its run.
 constexpr double WaitWeight = 3;
 
@@ -22,19 +22,19 @@
     return label.empty() || std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-bool isAble(const AgentView &agent, const StepRequest &step)
+bool isEligible(const AgentView &agent, const StepRequest &step)
 {
     return Dispatch::fits(agent.announced.resources, {}, step.resources)
            && hasLabel(agent, step.requiredLabel);
 }
 
-bool mayTakeAnother(const AgentView &agent, const PlacementQuery &query)
+bool isBelowTaskLimit(const AgentView &agent, const PlacementQuery &query)
 {
-    if (query.step->maxTasksPerBackend == 0 || query.tasksThere == nullptr) {
+    if (query.step->maxTasksPerBackend == 0 || query.tasksByAgent == nullptr) {
         return true;
     }
-    const auto found = query.tasksThere->find(agent.announced.name);
-    return found == query.tasksThere->end() || found->second < query.step->maxTasksPerBackend;
+    const auto found = query.tasksByAgent->find(agent.announced.name);
+    return found == query.tasksByAgent->end() || found->second < query.step->maxTasksPerBackend;
 }
 
 bool isAvoided(const AgentView &agent, const PlacementQuery &query)
@@ -44,39 +44,39 @@
                       != query.avoided->end();
 }
 
-std::optional<Placement> placeAmong(Fleet &fleet, const PlacementQuery &query, bool takesAvoided,
+std::optional<Placement> placeAmong(Fleet &fleet, const PlacementQuery &query, bool allowsAvoided,
                                     std::int64_t nowMs, Common::Random &random)
 {
     std::optional<Placement> best;
     double leastCostMs = std::numeric_limits<double>::max();
     std::uint64_t ties = 0;
     for (auto &[name, agent] : fleet.agents) {
-        if (!takesWork(agent, query.service, nowMs) || !isAble(agent, *query.step)
-            || !mayTakeAnother(agent, query) || (!takesAvoided && isAvoided(agent, query))) {
+        if (!acceptsTasks(agent, query.service, nowMs) || !isEligible(agent, *query.step)
+            || !isBelowTaskLimit(agent, query) || (!allowsAvoided && isAvoided(agent, query))) {
             continue;
         }
         const double remote = hasLabel(agent, query.step->dataRack) ? 1 : RemoteDataFactor;
-        Placement here;
-        here.agent = name;
-        here.waitMs =
+        Placement candidate;
+        candidate.agent = name;
+        candidate.waitMs =
                 fleet.decisions.usesForecasts
                         ? expectedWaitMs(agent, query.step->resources.processors, query.priority)
                         : meanWaitMs(agent, query.step->resources.processors);
-        here.runMs = query.runMs * Dispatch::speedFactor(agent.speed) * remote;
-        here.expectedMs = here.runMs;
+        candidate.runMs = query.runMs * Dispatch::speedFactor(agent.speed) * remote;
+        candidate.expectedMs = candidate.runMs;
         if (fleet.decisions.usesPaces) {
-            here.runMs *= std::max(agent.load.slowdown, 1.0);
+            candidate.runMs *= std::max(agent.load.slowdown, 1.0);
         }
         const double weight = fleet.decisions.weighsWaits ? WaitWeight : 1;
-        const double costMs = here.waitMs * weight + here.runMs;
-        if (costMs < leastCostMs - TieMs) {
-            best = here;
+        const double costMs = candidate.waitMs * weight + candidate.runMs;
+        if (costMs < leastCostMs - TieToleranceMs) {
+            best = candidate;
             leastCostMs = costMs;
             ties = 1;
-        } else if (costMs <= leastCostMs + TieMs && fleet.decisions.breaksTies) {
+        } else if (costMs <= leastCostMs + TieToleranceMs && fleet.decisions.breaksTies) {
             ++ties;
             if (std::uniform_int_distribution<std::uint64_t>(1, ties)(random) == 1) {
-                best = here;
+                best = candidate;
                 leastCostMs = std::min(leastCostMs, costMs);
             }
         }
@@ -99,18 +99,18 @@
 
 double expectedWaitMs(const AgentView &agent, double processors, std::int64_t priority)
 {
-    const bool isUrgent = isUrgentThere(agent, priority);
+    const bool isUrgent = hasUrgentPriority(agent, priority);
     const double capacity = agent.announced.resources.processors;
-    const double roomThen = capacity - agent.load.committedProcessors - processors;
-    const double since =
+    const double reportedRoom = capacity - agent.load.committedProcessors - processors;
+    const double addedProcessors =
             agent.tentativeProcessors
             + (isUrgent ? agent.unreportedUrgentProcessors : agent.unreportedProcessors);
-    const double waitThenMs = isUrgent ? agent.load.urgentWaitMs : agent.load.waitMs;
-    const double beyond = std::max(since - std::max(roomThen, 0.0), 0.0);
+    const double reportedWaitMs = isUrgent ? agent.load.urgentWaitMs : agent.load.waitMs;
+    const double excessProcessors = std::max(addedProcessors - std::max(reportedRoom, 0.0), 0.0);
     // What came since stands before it: in the mean time that a task takes, all that is there frees
     // its processors once.
-    const double sinceMs = beyond / capacity * std::max(agent.load.meanLeftMs, 1.0);
-    return (roomThen >= 0 ? 0 : waitThenMs) + sinceMs;
+    const double addedWaitMs = excessProcessors / capacity * std::max(agent.load.meanLeftMs, 1.0);
+    return (reportedRoom >= 0 ? 0 : reportedWaitMs) + addedWaitMs;
 }
 
 std::optional<Placement> placeTask(Fleet &fleet, const PlacementQuery &query, std::int64_t nowMs,
@@ -120,12 +120,12 @@
     return placement ? placement : placeAmong(fleet, query, true, nowMs, random);
 }
 
-bool anyAble(const Fleet &fleet, const std::string &service, const StepRequest &step)
+bool hasEligibleBackend(const Fleet &fleet, const std::string &service, const StepRequest &step)
 {
     return std::any_of(fleet.agents.begin(), fleet.agents.end(), [&](const auto &entry) {
         const AgentView &agent = entry.second;
-        const bool mayTakeIt = !agent.isLinked || agent.announced.accepting;
-        return mayTakeIt && agent.announced.service == service && isAble(agent, step);
+        const bool mayTakeIt = !agent.isConnected || agent.announced.accepting;
+        return mayTakeIt && agent.announced.service == service && isEligible(agent, step);
     });
 }
 
--- a/Source/Core/Transient/Placement.h
+++ b/Source/Core/Transient/Placement.h
@@ -25,7 +25,7 @@
     /// On a backend server of factor 1.
     double runMs = 0;
     /// Tasks of the step that are already there, by the agent's name.
-    const std::map<std::string, int> *tasksThere = nullptr;
+    const std::map<std::string, int> *tasksByAgent = nullptr;
     /// Agents where the task has failed or that gave it back; used only where no other is left.
     const std::vector<std::string> *avoided = nullptr;
 };
@@ -50,6 +50,6 @@
 
 /// The service has a backend server that could run the step, now or when its agent, whose link is
 /// lost, is back. One that is leaving does not count.
-bool anyAble(const Fleet &fleet, const std::string &service, const StepRequest &step);
+bool hasEligibleBackend(const Fleet &fleet, const std::string &service, const StepRequest &step);
 
 } // namespace Transient
--- a/Source/Core/Transient/Patience.h
+++ b/Source/Core/Transient/RemainingTimeout.h
@@ -12,16 +12,17 @@
 /// waited.
 namespace Transient {
 
-struct UsualPatience
+struct UsualRemainingTimeout
 {
     /// That nineteen of twenty callers have left, or more, when they reach a gateway.
     double usualMs = 0;
     std::int64_t samples = 0;
 };
 
-void patienceSeen(UsualPatience &usual, std::int64_t patienceMs);
+void observeRemainingTimeout(UsualRemainingTimeout &usual, std::int64_t remainingTimeoutMs);
 
-/// For at least how long a caller with \a patienceMs left has waited; 0 while little is known.
-std::int64_t waitedBeforeMs(const UsualPatience &usual, std::int64_t patienceMs);
+/// For at least how long a caller with \a remainingTimeoutMs left has waited; 0 while little is
+/// known.
+std::int64_t waitedBeforeMs(const UsualRemainingTimeout &usual, std::int64_t remainingTimeoutMs);
 
 } // namespace Transient
--- a/Source/Core/Transient/Resubmission.h
+++ b/Source/Core/Transient/Resubmission.h
@@ -17,25 +17,25 @@
 /// That each renewal grants to what runs.
 constexpr std::int64_t LeaseMs = 700;
 /// A backend server's clock may be slow by one part in so many.
-constexpr std::int64_t ClockRateShare = 50;
+constexpr std::int64_t ClockDriftDivisor = 50;
 /// From the moment at which an agent has to tell until the gateways know: late timers, the wire.
-constexpr std::int64_t TellMs = 80;
+constexpr std::int64_t NotificationMs = 80;
 
 /// By the clock of the agent, where the backend server's is slow.
 constexpr std::int64_t onSlowClockMs(std::int64_t ms)
 {
-    return ms + ms / ClockRateShare;
+    return ms + ms / ClockDriftDivisor;
 }
 
 /// How old the last sign of a gateway may get until the agent tells the others of its jobs.
 constexpr std::int64_t suspectTimeMs(std::int64_t leaseMs)
 {
-    return ResubmitMs - TellMs - onSlowClockMs(leaseMs);
+    return ResubmitMs - NotificationMs - onSlowClockMs(leaseMs);
 }
 
 /// Signs of a gateway that is well are up to two heartbeats old.
-constexpr std::int64_t UsualSignAgeMs = 500;
-static_assert(suspectTimeMs(LeaseMs) >= UsualSignAgeMs);
+constexpr std::int64_t UsualMessageAgeMs = 500;
+static_assert(suspectTimeMs(LeaseMs) >= UsualMessageAgeMs);
 static_assert(suspectTimeMs(LeaseMs) < GrantMs);
 
 } // namespace Transient
--- a/Source/UnitTests/Platform/BackendCallsTest.cpp
+++ b/Source/UnitTests/Platform/BackendCallsTest.cpp
@@ -77,7 +77,7 @@
             {answered(409, "?"), StartOutcome::Refused},
             {answered(400, R"({"reason":"late"})"), StartOutcome::LeaseTooShort},
             {answered(400, "{}"), StartOutcome::Malformed},
-            {answered(421, "{}"), StartOutcome::OtherLife},
+            {answered(421, "{}"), StartOutcome::OtherIncarnation},
             {answered(429, "{}"), StartOutcome::Refused},
             {answered(503, ""), StartOutcome::Refused},
             {answered(500, ""), StartOutcome::Unanswered},
@@ -97,7 +97,7 @@
     const auto answer = Platform::decodeObservation(answered(
             200, R"({"clockMs":482113,"born":17,"active":[["5c0e.0.1.17",2,"",41,500]],)"
                  R"("ended":[[58,"5c0e.0.1.9",1,"done",""],[59,"5c0e.0.1.8",1,"lapsed",""]]})"));
-    REQUIRE(answer.outcome == ObserveOutcome::Seen);
+    REQUIRE(answer.outcome == ObserveOutcome::Observed);
     CHECK(answer.seen.clockMs == 482113);
     CHECK(answer.seen.startedAtMs == 17);
     REQUIRE(answer.seen.active.size() == 1);
@@ -120,7 +120,7 @@
             {answered(200, "nonsense"), ObserveOutcome::Refused},
             {answered(200, R"({"clockMs":1,"active":[[1]],"ended":[]})"), ObserveOutcome::Refused},
             {answered(409, R"({"reason":"fence"})"), ObserveOutcome::Fenced},
-            {answered(421, ""), ObserveOutcome::OtherLife},
+            {answered(421, ""), ObserveOutcome::OtherIncarnation},
             {answered(503, ""), ObserveOutcome::Refused},
             {ended(Net::HttpTransport::NotConnected), ObserveOutcome::NotConnected},
             {ended(Net::HttpTransport::TimedOut), ObserveOutcome::Unanswered},
--- a/Source/UnitTests/Transient/DecisionTest.cpp
+++ b/Source/UnitTests/Transient/DecisionTest.cpp
@@ -36,7 +36,7 @@
     agent.announced.resources.processors = processors;
     agent.announced.resources.memoryMb = 1000;
     agent.announced.labels = {"a", "rack-1"};
-    agent.isLinked = true;
+    agent.isConnected = true;
     agent.load.committedProcessors = committed;
     agent.load.meanLeftMs = meanLeftMs;
     constexpr std::int64_t MoreUrgent = -1;
@@ -93,11 +93,11 @@
 TEST_CASE("Discovery dials seeds for ever and hearsay for a while")
 {
     Discovery discovery = makeDiscovery("10.0.0.1:1", {"10.0.0.1:1", "10.0.0.2:1"});
-    gatewayTold(discovery, "10.0.0.3:1", at(0));
-    gatewayTold(discovery, "10.0.0.1:1", at(0));
+    addGateway(discovery, "10.0.0.3:1", at(0));
+    addGateway(discovery, "10.0.0.1:1", at(0));
     CHECK(gatewaysToDial(discovery, at(0)).size() == 2);
     CHECK(gatewaysToDial(discovery, at(1)).empty());
-    gatewayLinked(discovery, "10.0.0.3:1", at(5));
+    gatewayConnected(discovery, "10.0.0.3:1", at(5));
     dialEnded(discovery, "10.0.0.2:1", at(5));
     CHECK(gatewaysToDial(discovery, at(6)).empty());
     CHECK(gatewaysToDial(discovery, at(105)).size() == 1);
@@ -176,7 +176,7 @@
     query.deadlineMs = 2000;
     CHECK(expectedStretch(error, 1000) == 1);
     for (int answer = 0; answer < 20; ++answer) {
-        answerObserved(error, 100, 200, 1000 + answer * 10);
+        observeAnswer(error, 100, 200, 1000 + answer * 10);
     }
     query.stretch = expectedStretch(error, 1200);
     CHECK(query.stretch > 1.6);
@@ -189,11 +189,11 @@
     // single one that hung counts for little.
     PredictionError early;
     for (int answer = 0; answer < 50; ++answer) {
-        answerObserved(early, 200, 50, 1000);
+        observeAnswer(early, 200, 50, 1000);
     }
     CHECK(expectedStretch(early, 1000) == 1);
     PredictionError hung;
-    answerObserved(hung, 100, 10'000, 1000);
+    observeAnswer(hung, 100, 10'000, 1000);
     CHECK(expectedStretch(hung, 1000) < 1.2);
 }
 
@@ -245,7 +245,7 @@
         agent.load.waitMs = 250;
         agent.load.urgentWaitMs = 20;
         agent.load.urgentPriority = Urgent;
-        ordered(agent, row.sentSince, row.sentPriority, 1);
+        countOrder(agent, row.sentSince, row.sentPriority, 1);
         CHECK(expectedWaitMs(agent, 6, row.priority) == doctest::Approx(row.waitMs));
     }
 }
@@ -353,8 +353,8 @@
 TEST_CASE("What was sent counts until the agent counts it")
 {
     AgentView agent = agentOf("a", 64, 0, 0);
-    const std::int64_t first = ordered(agent, 12, 0, 2);
-    const std::int64_t second = ordered(agent, 6, 0, 1);
+    const std::int64_t first = countOrder(agent, 12, 0, 2);
+    const std::int64_t second = countOrder(agent, 6, 0, 1);
     CHECK(committedProcessors(agent) == doctest::Approx(18));
     Schema::AgentLoad load;
     load.committedProcessors = 12;
--- a/Source/UnitTests/Transient/JobsTest.cpp
+++ b/Source/UnitTests/Transient/JobsTest.cpp
@@ -42,7 +42,7 @@
         made.queue.attemptLimit = 2;
         made.queue.latencyFactor = 1.6;
         made.queue.targetLatencyMs = 60;
-        made.patienceMs = 2000;
+        made.remainingTimeoutMs = 2000;
         made.request.id = id;
         made.request.steps = std::move(steps);
         return made;
@@ -194,13 +194,13 @@
         CAPTURE(row.isAnswered);
         Fixture site;
         Submission submission = site.submission("job", {stepOf(1)});
-        submission.patienceMs = 2 * times.lateStartMs;
+        submission.remainingTimeoutMs = 2 * times.lateStartMs;
         jobSubmitted(site.state, std::move(submission), at(1), site.random);
         if (row.isAnswered) {
             site.report("job.0.0", 1, AttemptPhase::Running, 5);
         }
         const std::int64_t heardMs = site.state.fleet.agents.at("agent").loadAtMs;
-        agentLinkLost(site.state, "agent-1", at(100));
+        handleAgentDisconnected(site.state, "agent-1", at(100));
         Schema::AgentAnnouncement other;
         other.instance = "other-1";
         other.name = "other";
@@ -225,10 +225,10 @@
     // ordered elsewhere, and its end is taken.
     Fixture site;
     Submission submission = site.submission("job", {stepOf(1)});
-    submission.patienceMs = 3 * GatewayTimes().lateStartMs;
+    submission.remainingTimeoutMs = 3 * GatewayTimes().lateStartMs;
     jobSubmitted(site.state, std::move(submission), at(1), site.random);
     Schema::AgentAnnouncement again = site.state.fleet.agents.at("agent").announced;
-    agentLinkLost(site.state, "agent-1", at(100));
+    handleAgentDisconnected(site.state, "agent-1", at(100));
     CHECK(orderedTasks(tick(site.state, at(5000), site.random)).empty());
     again.held = {{1, "job.0.0"}};
     again.clean = true;
@@ -259,7 +259,7 @@
 {
     Fixture site;
     jobSubmitted(site.state, site.submission("job", {stepOf(2)}), at(1), site.random);
-    agentLinkLost(site.state, "agent-1", at(20));
+    handleAgentDisconnected(site.state, "agent-1", at(20));
     Schema::AgentAnnouncement again = site.state.fleet.agents.at("agent").announced;
     again.held = {{1, "job.0.0"}, {1, "gone.0.0"}};
     const Effects effects = agentAnnounced(site.state, again, at(40), site.random);
@@ -325,7 +325,7 @@
     REQUIRE(given.size() == 1);
     CHECK(given[0].reason == Reason::NoBackend);
     // One whose link is gone for a moment may be back at once.
-    agentLinkLost(site.state, "agent-1", at(5002));
+    handleAgentDisconnected(site.state, "agent-1", at(5002));
     CHECK(answers(jobSubmitted(site.state, site.submission("other", {stepOf(1)}), at(5003),
                                site.random))
                   .empty());
@@ -371,7 +371,7 @@
     Fixture site;
     beginStop(site.state, TimeoutMs, at(0));
     Submission first = site.submission("first", {stepOf(2)});
-    first.patienceMs = 2 * TimeoutMs;
+    first.remainingTimeoutMs = 2 * TimeoutMs;
     CHECK(answers(jobSubmitted(site.state, std::move(first), at(3000), site.random)).empty());
     const auto late = answers(jobSubmitted(site.state, site.submission("late", {stepOf(2)}),
                                            at(TimeoutMs - 150), site.random));
@@ -420,7 +420,7 @@
     callerGone(site.state, first.token, at(50));
     const Submission second = site.submission("job", {stepOf(1)});
     REQUIRE(orderedTasks(jobSubmitted(site.state, second, at(60), site.random)).empty());
-    agentLinkLost(site.state, "agent-1", at(70));
+    handleAgentDisconnected(site.state, "agent-1", at(70));
     REQUIRE(orderedTasks(site.announce("agent", 100)).size() == 1);
     site.announce("other", 101);
     CHECK(orderedTasks(site.report("job.0.0", 1, AttemptPhase::Failed, 102)).empty());
--- a/Source/UnitTests/Transient/LearnedTest.cpp
+++ b/Source/UnitTests/Transient/LearnedTest.cpp
@@ -43,7 +43,7 @@
         AgentView &slow = state.fleet.agents.at("slow");
         runEnded(state.fleet, fast, profile, {true, 100, 100}, run);
         runEnded(state.fleet, slow, profile, {true, 100, 300}, run);
-        patienceSeen(state.patiences[Queue], 1800 + run);
+        observeRemainingTimeout(state.patiences[Queue], 1800 + run);
     }
     return state;
 }
@@ -151,28 +151,28 @@
     // callers have 1,000 ms left where the others have 1,800 to 2,400.
     Common::Random random{1};
     std::uniform_int_distribution<std::int64_t> usualMs(1800, 2400);
-    UsualPatience usual;
+    UsualRemainingTimeout usual;
     for (int caller = 0; caller < 20; ++caller) {
-        patienceSeen(usual, usualMs(random));
+        observeRemainingTimeout(usual, usualMs(random));
     }
     CHECK(waitedBeforeMs(usual, 1000) == 0);
     for (int caller = 0; caller < 2000; ++caller) {
-        patienceSeen(usual, usualMs(random));
+        observeRemainingTimeout(usual, usualMs(random));
     }
     struct Row
     {
-        std::int64_t patienceMs;
+        std::int64_t remainingTimeoutMs;
         std::int64_t leastMs;
         std::int64_t mostMs;
     };
     for (const Row &row :
          {Row{2400, 0, 0}, Row{1800, 0, 0}, Row{1000, 650, 900}, Row{400, 1250, 1500}}) {
-        CAPTURE(row.patienceMs);
-        CHECK(waitedBeforeMs(usual, row.patienceMs) >= row.leastMs);
-        CHECK(waitedBeforeMs(usual, row.patienceMs) <= row.mostMs);
+        CAPTURE(row.remainingTimeoutMs);
+        CHECK(waitedBeforeMs(usual, row.remainingTimeoutMs) >= row.leastMs);
+        CHECK(waitedBeforeMs(usual, row.remainingTimeoutMs) <= row.mostMs);
     }
     for (int caller = 0; caller < 100; ++caller) {
-        patienceSeen(usual, 1000);
+        observeRemainingTimeout(usual, 1000);
     }
     // A crowd of them does not become the usual.
     CHECK(waitedBeforeMs(usual, 1000) >= 350);
--- a/Source/UnitTests/Transient/LoadReplay.cpp
+++ b/Source/UnitTests/Transient/LoadReplay.cpp
@@ -36,7 +36,8 @@
     Outcome outcome;
     for (std::size_t number = first; number < world.callers.size(); ++number) {
         const Caller &caller = world.callers[number];
-        if (caller.patienceMs < leastPatienceMs || caller.work.runMs != offered.work.runMs) {
+        if (caller.remainingTimeoutMs < leastPatienceMs
+            || caller.work.runMs != offered.work.runMs) {
             continue;
         }
         ++outcome.asked;
--- a/Source/UnitTests/Transient/ModelBackend.cpp
+++ b/Source/UnitTests/Transient/ModelBackend.cpp
@@ -134,7 +134,7 @@
     while (!backend.ends.empty() && backend.ends.front().position <= lastEnd) {
         backend.ends.pop_front();
     }
-    answer.outcome = Transient::ObserveOutcome::Seen;
+    answer.outcome = Transient::ObserveOutcome::Observed;
     answer.seen.clockMs = clockOf(backend, nowMs);
     answer.seen.startedAtMs = backend.startedAtMs;
     for (const ModelRun &run : backend.runs) {
--- a/Source/UnitTests/Transient/RunnerTest.cpp
+++ b/Source/UnitTests/Transient/RunnerTest.cpp
@@ -58,7 +58,7 @@
     Effects seen(std::uint64_t watch, std::int64_t nowMs, std::int64_t startedAtMs = 1)
     {
         Transient::ObserveAnswer answer;
-        answer.outcome = ObserveOutcome::Seen;
+        answer.outcome = ObserveOutcome::Observed;
         answer.seen.clockMs = nowMs;
         answer.seen.startedAtMs = startedAtMs;
         for (const auto &[id, run] : this->state.runs) {
@@ -73,7 +73,7 @@
     void seenEmpty(std::uint64_t watch, std::int64_t nowMs)
     {
         Transient::ObserveAnswer answer;
-        answer.outcome = ObserveOutcome::Seen;
+        answer.outcome = ObserveOutcome::Observed;
         answer.seen.clockMs = nowMs;
         answer.seen.startedAtMs = 1;
         observed(this->state, watch, answer, at(nowMs));
@@ -409,7 +409,7 @@
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     Transient::ObserveAnswer empty;
-    empty.outcome = ObserveOutcome::Seen;
+    empty.outcome = ObserveOutcome::Observed;
     empty.seen.startedAtMs = 1;
     std::vector<std::uint64_t> asked;
     for (std::int64_t nowMs = 11; asked.size() < 2 && nowMs < 1000; ++nowMs) {
@@ -464,7 +464,7 @@
         if (const auto call = lastOf<CallObserve>(tick(site.state, at(nowMs)))) {
             leaseUntilMs = std::max(leaseUntilMs, call->leaseUntilMs);
             Transient::ObserveAnswer answer;
-            answer.outcome = ObserveOutcome::Seen;
+            answer.outcome = ObserveOutcome::Observed;
             answer.seen.clockMs = nowMs + 1;
             answer.seen.startedAtMs = 1;
             answer.seen.active.push_back({"a.0.0", start.start.number, 10});
@@ -504,7 +504,7 @@
               const std::vector<Transient::ActiveRun> &active)
 {
     Transient::ObserveAnswer answer;
-    answer.outcome = ObserveOutcome::Seen;
+    answer.outcome = ObserveOutcome::Observed;
     answer.seen.clockMs = nowMs;
     answer.seen.startedAtMs = startedAtMs;
     answer.seen.active = active;
@@ -602,8 +602,8 @@
     backendAnnounced(site.state, next, at(100));
     CHECK(site.state.backend->id == "backend-1");
     site.order("a.0.0", 110);
-    site.lookFails(ObserveOutcome::OtherLife, 112);
-    observeInVain(site, ObserveOutcome::OtherLife, 120, 2000);
+    site.lookFails(ObserveOutcome::OtherIncarnation, 112);
+    observeInVain(site, ObserveOutcome::OtherIncarnation, 120, 2000);
     REQUIRE_FALSE(site.state.isAlive);
     next.sequence = 2;
     backendAnnounced(site.state, next, at(2000));
@@ -724,7 +724,7 @@
     const auto look = lastOf<CallObserve>(effects);
     REQUIRE(look.has_value());
     Transient::ObserveAnswer found;
-    found.outcome = ObserveOutcome::Seen;
+    found.outcome = ObserveOutcome::Observed;
     found.seen.startedAtMs = 1;
     found.seen.active.push_back({"a.0.0", 1, 10});
     CHECK(lastOf<CallStop>(observed(site.state, look->watch, found, at(32))).has_value());
@@ -742,7 +742,7 @@
     const auto look = lastOf<CallObserve>(tick(site.state, at(30)));
     REQUIRE(look.has_value());
     Transient::ObserveAnswer listed;
-    listed.outcome = ObserveOutcome::Seen;
+    listed.outcome = ObserveOutcome::Observed;
     listed.seen.startedAtMs = 1;
     listed.seen.active.push_back({"a.0.0", 2, 10});
     listed.seen.ended.push_back({1, "a.0.0", 1, Transient::RunEnd::Stopped});
@@ -856,7 +856,7 @@
     next.sequence = 1;
     backendAnnounced(site.state, next, at(NextLifeMs));
     Transient::ObserveAnswer clean;
-    clean.outcome = ObserveOutcome::Seen;
+    clean.outcome = ObserveOutcome::Observed;
     clean.seen.startedAtMs = NextLifeMs;
     const auto look = lastOf<CallObserve>(tick(site.state, at(NextLifeMs + 50)));
     REQUIRE(look.has_value());
@@ -939,7 +939,7 @@
     const CallStart own = site.order("z.0.0", 10);
     site.answer(own, 12);
     Transient::ObserveAnswer ended;
-    ended.outcome = ObserveOutcome::Seen;
+    ended.outcome = ObserveOutcome::Observed;
     ended.seen.clockMs = 40;
     ended.seen.startedAtMs = 1;
     ended.seen.active = {{"a.0.0", 1, 10}};
--- a/Source/UnitTests/Transient/SiteStoryTest.cpp
+++ b/Source/UnitTests/Transient/SiteStoryTest.cpp
@@ -244,7 +244,7 @@
     Transient::Submission again;
     again.token = world->callers.back().token = "again";
     again.queue = world->queue;
-    again.patienceMs = 4000;
+    again.remainingTimeoutMs = 4000;
     again.request.id = world->callers[first].job;
     again.request.payload = payloadOf(Short);
     again.request.steps.resize(1);
--- a/Source/UnitTests/Transient/TransientWorld.cpp
+++ b/Source/UnitTests/Transient/TransientWorld.cpp
@@ -50,7 +50,7 @@
     }
 }
 
-void record(World &world, const std::string &who, const Transient::Note &note)
+void record(World &world, const std::string &who, const Transient::LogLine &note)
 {
     if (world.story == nullptr) {
         return;
@@ -353,7 +353,7 @@
                         effect.leaseUntilMs + (isMoved ? world.nowMs - sentMs : 0);
                 const auto first =
                         applyObserve(backend, fence, effect.lastEnd, leaseUntilMs, world.nowMs);
-                if (first.outcome == Transient::ObserveOutcome::Seen && effect.waitMs > 0
+                if (first.outcome == Transient::ObserveOutcome::Observed && effect.waitMs > 0
                     && backend.startedAtMs == call->lifeMs) {
                     waitForNews(world, call, effect, fence, world.nowMs + effect.waitMs);
                     return;
@@ -439,12 +439,12 @@
 }
 
 void carryOutOne(World & /*world*/, int /*agent*/, const Transient::CountReason & /*effect*/) {}
-void carryOutOne(World & /*world*/, int /*agent*/, const Transient::Note & /*effect*/) {}
+void carryOutOne(World & /*world*/, int /*agent*/, const Transient::LogLine & /*effect*/) {}
 
 void carryOut(World &world, int agent, const Runner::Effects &effects)
 {
     for (const Runner::Effect &effect : effects) {
-        if (const auto *note = std::get_if<Transient::Note>(&effect)) {
+        if (const auto *note = std::get_if<Transient::LogLine>(&effect)) {
             record(world, agentAt(world, agent).state.instance, *note);
         }
         std::visit([&world, agent](const auto &one) { carryOutOne(world, agent, one); }, effect);
@@ -560,7 +560,7 @@
 void carryOut(World &world, int gateway, const Transient::Effects &effects)
 {
     for (const Transient::Effect &effect : effects) {
-        if (const auto *note = std::get_if<Transient::Note>(&effect)) {
+        if (const auto *note = std::get_if<Transient::LogLine>(&effect)) {
             record(world, gatewayAt(world, gateway).instance, *note);
         }
         std::visit([&world, gateway](const auto &one) { carryOutOne(world, gateway, one); },
@@ -593,8 +593,9 @@
     if (link.announced) {
         link.announced = false;
         carryOut(world, gateway,
-                 Transient::agentLinkLost(gatewayAt(world, gateway).state,
-                                          agentAt(world, agent).state.instance, moment(world)));
+                 Transient::handleAgentDisconnected(gatewayAt(world, gateway).state,
+                                                    agentAt(world, agent).state.instance,
+                                                    moment(world)));
     }
 }
 
@@ -762,7 +763,7 @@
 {
     for (std::size_t number = 0; number < world.callers.size(); ++number) {
         Caller &caller = world.callers[number];
-        if (caller.gateway >= 0 && world.nowMs >= caller.submittedMs + caller.patienceMs) {
+        if (caller.gateway >= 0 && world.nowMs >= caller.submittedMs + caller.remainingTimeoutMs) {
             const int gateway = caller.gateway;
             const std::string token = caller.token;
             caller.gateway = -1;
@@ -793,7 +794,7 @@
     Transient::Submission submission;
     submission.token = caller.token;
     submission.queue = world.queue;
-    submission.patienceMs = caller.patienceMs - 20;
+    submission.remainingTimeoutMs = caller.remainingTimeoutMs - 20;
     submission.request.id = caller.job;
     submission.request.payload = payloadOf(caller.work);
     Transient::StepRequest step;
@@ -932,13 +933,13 @@
 }
 
 std::size_t submit(World &world, int gateway, const ModelWork &work, int tasks,
-                   std::int64_t patienceMs)
+                   std::int64_t remainingTimeoutMs)
 {
     Caller caller;
     caller.job = "job" + std::to_string(world.callers.size());
     caller.work = work;
     caller.tasks = tasks;
-    caller.patienceMs = patienceMs;
+    caller.remainingTimeoutMs = remainingTimeoutMs;
     world.callers.push_back(caller);
     submitAgain(world, world.callers.size() - 1, gateway);
     return world.callers.size() - 1;
@@ -949,7 +950,7 @@
     Caller &leaving = world.callers[caller];
     constexpr int NeverAgain = 1000;
     leaving.attempts += NeverAgain;
-    leaving.submittedMs = world.nowMs - leaving.patienceMs;
+    leaving.submittedMs = world.nowMs - leaving.remainingTimeoutMs;
 }
 
 void killGateway(World &world, int gateway, bool loudly)
--- a/Source/UnitTests/Transient/TransientWorld.h
+++ b/Source/UnitTests/Transient/TransientWorld.h
@@ -27,7 +27,7 @@
     /// Of each of its tasks.
     ModelWork work;
     int tasks = 1;
-    std::int64_t patienceMs = 2000;
+    std::int64_t remainingTimeoutMs = 2000;
     std::int64_t submittedMs = 0;
     /// Where it waits for an answer; -1 while it does not.
     int gateway = -1;
@@ -137,7 +137,7 @@
 
 /// Returns the caller's number.
 std::size_t submit(World &world, int gateway, const ModelWork &work, int tasks,
-                   std::int64_t patienceMs = 2000);
+                   std::int64_t remainingTimeoutMs = 2000);
 /// The caller closes its connection and does not come back.
 void leave(World &world, std::size_t caller);
 
