--- a/Source/Core/Transient/Agents.cpp
+++ b/Source/Core/Transient/Agents.cpp
@@ -50,7 +50,7 @@
     ended.attempt = held.attempt;
     ended.phase = phase;
     ended.reason = Reason::AgentLost;
-    return attemptEnded(state, instance, ended, now, random);
+    return handleAttemptState(state, instance, ended, now, random);
 }
 
 /// Ends all attempts at an instance that \a stillHeld does not name.
@@ -250,7 +250,7 @@
         agent->orphans = *report.orphans;
     }
     for (const Schema::AttemptState &reported : report.states) {
-        append(effects, attemptEnded(state, instance, reported, now, random));
+        append(effects, handleAttemptState(state, instance, reported, now, random));
     }
     append(effects, placeWaiting(state, now, random));
     return effects;
--- a/Source/Core/Transient/Attempts.cpp
+++ b/Source/Core/Transient/Attempts.cpp
@@ -108,8 +108,8 @@
     retryTask(state, job, task, true);
 }
 
-void taskGivenBack(GatewayState &state, Effects &effects, JobRecord &job, TaskRecord &task,
-                   const Schema::AttemptState &reported, Common::Moment now)
+void handleReturnedTask(GatewayState &state, Effects &effects, JobRecord &job, TaskRecord &task,
+                        const Schema::AttemptState &reported, Common::Moment now)
 {
     effects.emplace_back(retryLogLine(job, task, reported));
     effects.emplace_back(CountReason{RetryCounter, reported.reason});
@@ -125,9 +125,9 @@
 
 } // namespace
 
-Effects attemptEnded(GatewayState &state, const std::string &instance,
-                     const Schema::AttemptState &reported, Common::Moment now,
-                     Common::Random &random)
+Effects handleAttemptState(GatewayState &state, const std::string &instance,
+                           const Schema::AttemptState &reported, Common::Moment now,
+                           Common::Random &random)
 {
     Effects effects;
     const auto ref = parseTaskName(reported.task);
@@ -157,7 +157,7 @@
     } else if (reported.phase == AttemptPhase::Failed) {
         taskFailed(state, effects, job, *task, reported, now);
     } else {
-        taskGivenBack(state, effects, job, *task, reported, now);
+        handleReturnedTask(state, effects, job, *task, reported, now);
     }
     if (!job.result && job.ready > 0) {
         append(effects, placeAndOrder(state, job, now, random));
--- a/Source/Core/Transient/JobsInternal.h
+++ b/Source/Core/Transient/JobsInternal.h
@@ -47,9 +47,9 @@
 
 // Attempts.cpp: what becomes of a task at an agent
 
-Effects attemptEnded(GatewayState &state, const std::string &instance,
-                     const Schema::AttemptState &reported, Common::Moment now,
-                     Common::Random &random);
+Effects handleAttemptState(GatewayState &state, const std::string &instance,
+                           const Schema::AttemptState &reported, Common::Moment now,
+                           Common::Random &random);
 
 // Answers.cpp: the end of a job
 
