--- a/Source/Core/Transient/Admission.cpp
+++ b/Source/Core/Transient/Admission.cpp
@@ -7,16 +7,18 @@
 
 namespace {
 
-/// Callers are told whole seconds, and none sooner than the backlog can have changed.
+/// Callers receive the retry time in whole seconds; the shortest leaves the backlog time to change.
 constexpr double ShortestRetryMs = 1000;
 constexpr double LongestRetryMs = 10'000;
-/// Of one answer in the mean: a dozen answers, a third of a second of a queue's traffic on the
-/// smallest sites, show a change.
+/// Weight of one answer in the moving average: a dozen answers, which is a third of a second of a
+/// queue's traffic on the smallest sites, show a change.
 constexpr double AnswerWeight = 1.0 / 12;
-/// Without answers the correction is forgotten: a queue whose jobs are all refused would otherwise
-/// never learn that its predictions hold again. Two or three overloaded rounds of short jobs.
+/// The correction decays while there are no answers: a queue whose jobs are all refused would
+/// otherwise never detect that its predictions are right again. The half-life is as long as two or
+/// three rounds of short jobs under overload.
 constexpr double CorrectionHalfLifeMs = 1000;
-/// A single job may take a hundred times as long as predicted, when its backend server hangs.
+/// Limits the effect of a single answer: a job may take a hundred times as long as predicted when
+/// its backend server hangs.
 constexpr double MaxLogStretch = 1.4;
 
 double decayedLogStretch(const PredictionError &error, std::int64_t nowMs)
--- a/Source/Core/Transient/Admission.h
+++ b/Source/Core/Transient/Admission.h
@@ -5,58 +5,65 @@
 
 #include "Transient/Job.h"
 
-/// Which jobs are let in.
+/// Decides which jobs are admitted.
 ///
-/// Load pattern: for seconds, more work is offered than the backend servers can do. Without
-/// admission every job waits its turn, nearly all end late, and their callers learn it only then.
-/// A job whose predicted end is too late to be of use is refused before its first start, while
-/// "not run" is true, and is told when the backlog will have gone.
+/// Load pattern: for seconds, more work is submitted than the backend servers can do. Without
+/// admission control every job waits for its turn, nearly all end late, and their callers learn of
+/// it only then. A job whose predicted end is too late to be of use is refused before its first
+/// start, while the answer "not run" is true. The refusal says when to submit again, according to
+/// the expected duration of the backlog.
 namespace Transient {
 
 struct AdmissionQuery
 {
-    /// Until the job's last task is expected to have ended.
+    /// Predicted time until the job's last task has ended, plus GatewayTimes::overheadMs.
     double predictedMs = 0;
-    /// Longest wait for a free place among its tasks.
+    /// Longest expected wait for free processors among the job's tasks.
     double waitMs = 0;
-    /// Both are too short by this factor, as the queue's last answers show.
+    /// Factor by which both times above are too short, according to the last answers of the queue.
     double stretch = 1;
-    /// After which the answer is late.
+    /// Time after which the answer is late.
     double targetMs = 0;
-    /// After which nobody waits for it.
+    /// Time after which no caller waits for the answer.
     double deadlineMs = 0;
-    /// From 0 to 1; spreads the returns of callers that are refused together.
+    /// Random number from 0 to 1 that spreads the retries of callers refused at the same time.
     double spread = 0;
 };
 
-/// How long a queue's jobs take against what was predicted for them.
+/// How much longer the jobs of a queue take than predicted.
 ///
-/// Load pattern: several gateways fill the same backend servers, of which some have just turned
+/// Load pattern: several gateways fill the same backend servers, some of which have just become
 /// slow. Each gateway's predictions are then too short by the same factor for all jobs of a queue,
-/// and nearly every job that is let in ends late: of 483 jobs in four seconds of overload, 151 were
-/// in time. What the last answers took corrects the predictions within some dozens of them.
+/// and nearly every admitted job ends late: of 483 jobs in four seconds of overload, 151 were in
+/// time. The times that the last answers took correct the predictions within a few dozen answers.
 struct PredictionError
 {
-    /// Logarithm of time taken over time predicted; 0 is a prediction that holds.
+    /// Moving average of the natural logarithm of time taken over time predicted; 0 if predictions
+    /// are right.
     double logStretch = 0;
+    /// Steady clock at the last answer.
     std::int64_t observedMs = 0;
 };
 
+/// Updates the error with a job that took \a takenMs.
 void observeAnswer(PredictionError &error, double predictedMs, double takenMs, std::int64_t nowMs);
 
-/// By how much predictions have to be stretched; 1 where they hold or were too long.
+/// Factor by which predictions have to be multiplied; 1 if they are right or too long.
 double expectedStretch(const PredictionError &error, std::int64_t nowMs);
 
 struct AdmissionLimits
 {
-    /// A job that is expected to take more than this many times its target is refused.
+    /// A job that is expected to take more than this many times its target latency is refused.
     double maxLateness = 1.0;
     bool refuses = true;
-    /// Baselines for tests: predictions count as they are, and every caller as fresh.
+    /// Baselines for comparison when false: predictions are not corrected, and callers count as
+    /// not having waited before.
     bool correctsPredictions = true;
     bool countsWaiting = true;
 };
 
+/// Returns the refusal, or nothing if the job is admitted. A job whose tasks need not wait is
+/// always admitted.
 std::optional<JobResult> decideAdmission(const AdmissionLimits &limits,
                                          const AdmissionQuery &query);
 
--- a/Source/Core/Transient/Admit.cpp
+++ b/Source/Core/Transient/Admit.cpp
@@ -5,7 +5,7 @@
 #include "Transient/Orphans.h"
 #include "Transient/Placement.h"
 
-/// Submissions: what is known of a job before its first start, and whether it is let in.
+/// Handles submissions: creates the record of a job, predicts its end and admits or refuses it.
 namespace Transient {
 
 namespace {
@@ -14,7 +14,7 @@
 
 constexpr const char *RefusalCounter = "auburntrail_transient_refusals_total";
 constexpr double PercentOfOne = 100;
-/// A gateway that stops takes only what surely ends in time: the predictions are means, and the
+/// A stopping gateway admits only jobs that are sure to end in time: predictions are means, and the
 /// last of a handful of tasks takes up to twice as long.
 constexpr double StopSafetyFactor = 2;
 
@@ -108,7 +108,8 @@
     return JobResult{JobOutcome::Refused, Reason::Stopping, RetryMs};
 }
 
-/// Nobody could run the job, and gateways that have just started have had time to hear of agents.
+/// Refuses a job if no backend server could run one of its steps. Within gatherMs of its start a
+/// gateway refuses no job for this reason, since agents may still be connecting.
 std::optional<JobResult> refusalForLackOfBackends(const GatewayState &state, const JobRecord &job,
                                                   Common::Moment now)
 {
--- a/Source/Core/Transient/Placement.cpp
+++ b/Source/Core/Transient/Placement.cpp
@@ -8,12 +8,15 @@
 
 namespace {
 
-/// Tasks of one step take this much longer away from the rack of their data; the platform's figure.
+/// Factor by which a task takes longer away from the rack that holds its data; specified by the
+/// platform.
 constexpr double RemoteDataFactor = 1.5;
-/// Costs within this of each other count as the same, and chance decides: several
-/// gateways would otherwise all choose the same backend server between two reports of its load.
+/// Costs that differ by no more than this count as equal, and the choice among them is random:
+/// otherwise several gateways would all choose the same backend server between two reports of its
+/// load.
 constexpr double TieToleranceMs = 4;
-/// A task that waits makes all wait that come after it, and its wait is less sure than its run.
+/// A waiting task delays all tasks that come after it, and its wait is less certain than its run
+/// time.
 constexpr double WaitWeight = 3;
 
 bool hasLabel(const AgentView &agent, const std::string &label)
@@ -92,8 +95,8 @@
     if (missing <= 0) {
         return 0;
     }
-    // Tasks end one after the other: in the mean time that one still takes, all that is there
-    // frees its processors once.
+    // Tasks end one after another: within the mean remaining time of a task, all tasks of the
+    // backend server free their processors once.
     return missing / agent.announced.resources.processors * std::max(agent.load.meanLeftMs, 1.0);
 }
 
@@ -107,8 +110,8 @@
             + (isUrgent ? agent.unreportedUrgentProcessors : agent.unreportedProcessors);
     const double reportedWaitMs = isUrgent ? agent.load.urgentWaitMs : agent.load.waitMs;
     const double excessProcessors = std::max(addedProcessors - std::max(reportedRoom, 0.0), 0.0);
-    // What came since stands before it: in the mean time that a task takes, all that is there frees
-    // its processors once.
+    // Tasks placed since the report come before this one. Within the mean remaining time of a
+    // task, all tasks of the backend server free their processors once.
     const double addedWaitMs = excessProcessors / capacity * std::max(agent.load.meanLeftMs, 1.0);
     return (reportedRoom >= 0 ? 0 : reportedWaitMs) + addedWaitMs;
 }
--- a/Source/Core/Transient/Placement.h
+++ b/Source/Core/Transient/Placement.h
@@ -8,13 +8,14 @@
 #include "Transient/Fleet.h"
 #include "Transient/Job.h"
 
-/// On which backend server a task goes.
+/// Chooses the agent, and with it the backend server, that a task is sent to.
 ///
-/// Load pattern: backend servers differ in speed by more than two times, and a job ends with its
-/// last task. Each task goes where it is expected to end first, so that the fast backend servers
-/// fill first and the tasks of a wide job end together. Waits weigh more than runs: where both
-/// count alike, all tasks queue before the fast backend servers until these are no better than the
-/// slow ones, which stand idle meanwhile, and short urgent jobs are late behind that queue.
+/// Load pattern: backend servers differ in speed by more than a factor of two, and a job ends with
+/// its last task. Each task goes where its expected end comes first, so that the fast backend
+/// servers fill first and the tasks of a wide job end together. Waits have a higher weight than run
+/// times: with equal weights, all tasks would queue at the fast backend servers until these are no
+/// better than the slow ones, which would stay idle meanwhile, and short urgent jobs would be late
+/// behind that queue.
 namespace Transient {
 
 struct PlacementQuery
@@ -22,11 +23,12 @@
     std::string service;
     const StepRequest *step = nullptr;
     std::int64_t priority = 0;
-    /// On a backend server of factor 1.
+    /// Expected run time on a backend server of speed factor 1.
     double runMs = 0;
-    /// Tasks of the step that are already there, by the agent's name.
+    /// Number of the step's tasks that each agent already has, by the agent's name.
     const std::map<std::string, int> *tasksByAgent = nullptr;
-    /// Agents where the task has failed or that gave it back; used only where no other is left.
+    /// Names of agents where the task has failed or that returned it; used only if there is no
+    /// other.
     const std::vector<std::string> *avoided = nullptr;
 };
 
@@ -34,22 +36,25 @@
 {
     std::string agent;
     double waitMs = 0;
-    /// At the pace that the backend server has now.
+    /// Expected run time with the present slowdown of the backend server.
     double runMs = 0;
-    /// At the pace that it usually has.
+    /// Expected run time at the usual speed of the backend server.
     double expectedMs = 0;
 };
 
-/// The same without forecasts, from the mean time left.
+/// Expected time until \a processors are free at the agent, estimated from the mean time that the
+/// tasks there still take, without the agent's own forecasts.
 double meanWaitMs(const AgentView &agent, double processors);
-/// Expected time until \a processors are free there for a task of this priority.
+/// Expected time until \a processors are free at the agent for a task of this priority, according
+/// to the agent's forecasts and the tasks placed there since its last report.
 double expectedWaitMs(const AgentView &agent, double processors, std::int64_t priority);
 
+/// Returns the best placement, or nothing if no agent can take the task now.
 std::optional<Placement> placeTask(Fleet &fleet, const PlacementQuery &query, std::int64_t nowMs,
                                    Common::Random &random);
 
-/// The service has a backend server that could run the step, now or when its agent, whose link is
-/// lost, is back. One that is leaving does not count.
+/// True if the service has a backend server that could run the step, now or once its disconnected
+/// agent is back. A connected agent that accepts no tasks, as when it is leaving, does not count.
 bool hasEligibleBackend(const Fleet &fleet, const std::string &service, const StepRequest &step);
 
 } // namespace Transient
