--- a/Source/Core/Transient/Agents.cpp
+++ b/Source/Core/Transient/Agents.cpp
@@ -3,7 +3,7 @@
 #include "Transient/JobsInternal.h"
 #include "Transient/Learned.h"
 
-/// Processes of agents that come and go, and what becomes of the tasks that they had.
+/// Handles agents that connect, disconnect and restart, and the tasks that they had.
 namespace Transient {
 
 namespace {
@@ -18,7 +18,7 @@
     bool isStartAnswered = false;
 };
 
-/// What this gateway believes to be at the agent's instance.
+/// The tasks that the agent's instance has according to this gateway's records.
 std::vector<HeldTask> tasksAt(const GatewayState &state, const std::string &instance)
 {
     std::vector<HeldTask> held;
@@ -36,7 +36,7 @@
             }
         }
     }
-    // In a fixed order, so that a seed replays.
+    // In a fixed order, so that a seed reproduces a run.
     std::sort(held.begin(), held.end(),
               [](const HeldTask &left, const HeldTask &right) { return left.task < right.task; });
     return held;
@@ -53,7 +53,7 @@
     return handleAttemptState(state, instance, ended, now, random);
 }
 
-/// Ends all attempts at an instance that \a stillHeld does not name.
+/// Ends all attempts at an instance except those in \a stillHeld.
 Effects settleAttempts(GatewayState &state, const std::string &instance,
                        const std::vector<Schema::TaskAttempt> &stillHeld, AttemptPhase phase,
                        Common::Moment now, Common::Random &random)
@@ -72,10 +72,11 @@
     return effects;
 }
 
-/// Ends the attempts at a lost instance whose leases have lapsed. A start that was not answered may
-/// still be on its way to the backend server and take effect with a fresh lease; where its task had
-/// gone elsewhere meanwhile, it would run twice at a time. It stays until a new process of the
-/// agent has raised the fence, or until it is too late for any start to arrive.
+/// Ends the attempts at a lost instance whose starts were answered, as their leases have lapsed. An
+/// unanswered start may still be on its way to the backend server and take effect with a new lease;
+/// if its task had been sent elsewhere meanwhile, it would run twice at the same time. Such an
+/// attempt stays until a new process of the agent has raised the fence, or until it is too late for
+/// any start to arrive.
 Effects settleAnswered(GatewayState &state, const std::string &instance, Common::Moment now,
                        Common::Random &random)
 {
@@ -94,8 +95,8 @@
     return effects;
 }
 
-/// An agent that had been silent for too long may still hold what this gateway has withdrawn or
-/// given up meanwhile.
+/// Withdraws the tasks that a reconnected agent still has although this gateway no longer wants
+/// them: it may have withdrawn them or ended their attempts while the agent was unreachable.
 void withdrawUnknown(GatewayState &state, Effects &effects,
                      const Schema::AgentAnnouncement &announcement)
 {
@@ -134,8 +135,8 @@
     return former;
 }
 
-/// The agent \a name has told that nothing is left of its earlier processes, and that none of their
-/// orders is obeyed any more.
+/// Ends all attempts at former processes of the agent \a name. The agent has reported that nothing
+/// of them runs any more and that their orders no longer take effect.
 Effects settleCleanAgent(GatewayState &state, const std::string &name, Common::Moment now,
                          Common::Random &random)
 {
@@ -216,7 +217,7 @@
         agent.unreportedProcessors = 0;
         agent.unreportedUrgentProcessors = 0;
     }
-    // It was only out of reach: it tells itself what it still holds.
+    // The same process was only unreachable; its announcement lists the tasks that it still has.
     removeFormerAgents(state, [&announcement](const FormerAgent &former) {
         return former.instance == announcement.instance;
     });
--- a/Source/Core/Transient/Answers.cpp
+++ b/Source/Core/Transient/Answers.cpp
@@ -1,6 +1,6 @@
 #include "Transient/JobsInternal.h"
 
-/// How a job ends: its answer, what is withdrawn for it, and how long it is remembered.
+/// Ends jobs: answers their callers, withdraws their tasks and keeps results for repeated requests.
 namespace Transient {
 
 namespace {
--- a/Source/Core/Transient/Attempts.cpp
+++ b/Source/Core/Transient/Attempts.cpp
@@ -2,7 +2,7 @@
 
 #include "Transient/JobsInternal.h"
 
-/// What becomes of a task at an agent, and what follows for its job.
+/// Handles reports of agents about attempts, and their consequences for tasks and jobs.
 namespace Transient {
 
 namespace {
@@ -11,7 +11,8 @@
 using Schema::Reason;
 
 constexpr const char *RetryCounter = "auburntrail_transient_retries_total";
-/// An agent that gave a task back for want of room gets none until its next reports are in.
+/// How long an agent that returned a task for lack of room gets no others; its next reports arrive
+/// within this time.
 constexpr std::int64_t RefusedPauseMs = 50;
 
 void releaseTask(GatewayState &state, JobRecord &job, StepRecord &step, TaskRecord &task)
@@ -27,7 +28,8 @@
     }
 }
 
-/// The task is over where it was and still wanted: it waits for another agent.
+/// Makes a task ready again whose last attempt is over. With \a avoidsAgent, the agent of that
+/// attempt is used again only if there is no other.
 void retryTask(GatewayState &state, JobRecord &job, TaskRecord &task, bool avoidsAgent)
 {
     task.phase = TaskPhase::Ready;
--- a/Source/Core/Transient/Job.h
+++ b/Source/Core/Transient/Job.h
@@ -7,32 +7,32 @@
 #include "Common/Common.h"
 #include "Schema/Schema.h"
 
-/// Transient jobs: answered when they end, owned by the gateway that took them and kept nowhere
-/// else. A caller whose connection breaks submits again, so that nothing needs to outlive the
-/// gateway; what must hold is that no task of the first submission still runs by then.
+/// Transient jobs are answered when they end. They are owned by the gateway that admitted them and
+/// stored nowhere else: a caller whose connection breaks submits again, so that nothing needs to
+/// outlive the gateway. No task of the first submission may still run by then.
 namespace Transient {
 
-/// Tasks of one kind that may start once the steps before them have ended.
+/// Tasks of one kind that may start once the steps before them have succeeded.
 struct StepRequest
 {
     int taskCount = 0;
     Schema::Resources resources;
-    /// A rough guess of the caller's.
+    /// Rough estimate by the caller.
     std::int64_t expectedRunMs = 0;
-    /// Positions of the steps that must have succeeded first.
+    /// Positions of the steps that must succeed first.
     std::vector<int> after;
     /// Label that the backend server must have; empty for any.
     std::string requiredLabel;
-    /// Label of the rack that holds the data; empty where it does not matter.
+    /// Label of the rack that holds the data; empty if the rack does not matter.
     std::string dataRack;
-    /// 0 is no limit.
+    /// 0 for no limit.
     int maxTasksPerBackend = 0;
 };
 
 struct JobRequest
 {
     std::string id;
-    /// Goes to the backend server unread.
+    /// Passed to the backend server without being read.
     std::string payload;
     std::vector<StepRequest> steps;
 };
@@ -41,9 +41,9 @@
     Succeeded,
     /// A task failed as often as its queue allows.
     Failed,
-    /// Nothing of it has run or will run.
+    /// None of its tasks has run or will run.
     Refused,
-    /// It was given up after something may have run.
+    /// Ended before it was complete; some of its tasks may have run.
     GaveUp
 };
 
@@ -56,7 +56,7 @@
 {
     JobOutcome outcome = JobOutcome::Refused;
     Schema::Reason reason = Schema::Reason::None;
-    /// With a refusal: when to submit again; 0 where that would not help.
+    /// For a refusal: time after which to submit again; 0 if that would not help.
     std::int64_t retryAfterMs = 0;
 };
 
--- a/Source/Core/Transient/JobTable.h
+++ b/Source/Core/Transient/JobTable.h
@@ -10,36 +10,37 @@
 #include "Dispatch/Scheduling/Estimates.h"
 #include "Transient/Job.h"
 
-/// The transient jobs of one gateway and where their tasks are.
+/// Records of the transient jobs of one gateway and of their tasks.
 namespace Transient {
 
 enum class TaskPhase {
-    /// A step before it has not ended.
+    /// A step before it has not succeeded yet.
     Blocked,
     /// Waits for an agent.
     Ready,
-    /// With an agent, which has not told of its end.
+    /// Sent to an agent, which has not reported its end.
     Ordered,
-    /// Not wanted any more; the agent has not yet told that it is over.
+    /// No longer wanted; the agent has not reported yet that it is over.
     Withdrawn,
     Succeeded,
-    /// Over, and not to be tried again.
+    /// Failed, stopped or never started, and not to be tried again.
     Dropped
 };
 
 struct TaskRecord
 {
     TaskPhase phase = TaskPhase::Blocked;
-    /// Rises with each order.
+    /// Incremented with each order.
     std::int64_t attempt = 0;
-    /// Name and instance of the agent that has it.
+    /// Name and instance of the agent that the task was sent to last.
     std::string agent;
     std::string agentInstance;
     int failures = 0;
-    /// Agents that it should not go back to.
+    /// Names of agents that the task should not be sent to again.
     std::vector<std::string> avoided;
+    /// Expected run time at the agent.
     double expectedMs = 0;
-    /// The backend server has answered its start: nothing of it can still be on the way there.
+    /// The backend server has answered the start, so that no start of it is still on the way there.
     bool isStartAnswered = false;
 };
 
@@ -49,7 +50,7 @@
     Dispatch::ProfileId profile = 0;
     std::vector<TaskRecord> tasks;
     int succeeded = 0;
-    /// Tasks that are with an agent, by its name.
+    /// Number of tasks that are placed at an agent, by its name.
     std::map<std::string, int> tasksByAgent;
 };
 
@@ -59,23 +60,25 @@
     Schema::JobQueue queue;
     std::string payload;
     std::vector<StepRecord> steps;
-    /// Requests that wait for the answer: the same job may be submitted again while it runs.
+    /// Requests that wait for the answer: a job may be submitted again while it runs.
     std::vector<std::string> tokens;
     /// Steady clock.
     std::int64_t receivedMs = 0;
     std::int64_t targetMs = 0;
-    /// A job of which nothing is ordered by then is refused: it would end too late to be of use.
+    /// A job of which no task is ordered by then is refused: it would end too late to be of use.
     std::int64_t lastStartMs = 0;
     std::int64_t deadlineMs = 0;
-    /// From its arrival to its end, as it was expected when it was let in.
+    /// Time from arrival to end, as predicted on admission.
     double predictedMs = 0;
-    /// By its caller before it came here, as far as can be told.
+    /// Estimate of the time that the caller had waited before the job arrived here; see
+    /// RemainingTimeout.h.
     std::int64_t waitedBeforeMs = 0;
     bool anyOrdered = false;
-    /// Tasks ordered or withdrawn.
+    /// Number of tasks that are Ordered or Withdrawn.
     int unsettled = 0;
+    /// Number of tasks that are Ready.
     int ready = 0;
-    /// Its answer is decided; it stays until all its tasks are over.
+    /// Set once the answer is decided; the record stays until all tasks are over.
     std::optional<JobResult> result;
 };
 
@@ -86,17 +89,18 @@
     int index = 0;
 };
 
+/// Name of a task: the job's id, step and index, separated by dots.
 std::string taskName(const JobRecord &job, int step, int index);
 std::optional<TaskRef> parseTaskName(const std::string &name);
 
-/// Null where the task is not known.
+/// Null if the job has no such task.
 TaskRecord *findTask(JobRecord &job, const TaskRef &task);
 
-/// Makes tasks Ready whose earlier steps have succeeded. Returns how many.
+/// Makes Blocked tasks Ready if all steps before them have succeeded. Returns their number.
 int openSteps(JobRecord &job);
 bool allSucceeded(const JobRecord &job);
 
-/// Longest chain of steps, each of which takes \a stepMs of its position.
+/// Duration of the longest chain of dependent steps. \a stepMs holds the duration of each step.
 double longestChainMs(const std::vector<StepRecord> &steps, const std::vector<double> &stepMs);
 
 } // namespace Transient
--- a/Source/Core/Transient/Jobs.cpp
+++ b/Source/Core/Transient/Jobs.cpp
@@ -13,11 +13,13 @@
 
 using Schema::Reason;
 
-/// Bounds the work that one round of timers can cost.
+/// Least time between two rounds of timers; bounds the work that timers cause.
 constexpr std::int64_t SweepMs = 20;
+/// Slack for timers that run late.
 constexpr std::int64_t LateTimersMs = 170;
 
-/// Jobs without an answer for which \a isSelected, in a fixed order, so that a seed replays.
+/// Ids of the jobs without a result that \a isSelected accepts, in a fixed order, so that a seed
+/// reproduces a run.
 template <typename Test>
 std::vector<std::string> openJobs(const GatewayState &state, Test isSelected)
 {
@@ -31,7 +33,8 @@
     return open;
 }
 
-/// Ends a job that will not be served: "not run" is true only where nothing of it was ordered.
+/// Ends a job that cannot be completed. It counts as refused, which means "not run", only if none
+/// of its tasks was ordered.
 Effects endUnserved(GatewayState &state, const std::string &id, Reason gaveUp, Reason refused,
                     Common::Moment now)
 {
@@ -43,16 +46,16 @@
     return effects;
 }
 
-/// A gateway that stops has no time left: its callers get a final answer while the process still
-/// lives, and what runs for them is stopped before they submit again. Otherwise their connections
-/// would close without a word.
+/// Ends all jobs when a stopping gateway has no time left. Callers get a final answer before the
+/// process exits, and their tasks are stopped before they submit again. Otherwise their connections
+/// would close without an answer.
 Effects endAll(GatewayState &state, Common::Moment now)
 {
     Effects effects;
     for (const std::string &id : openJobs(state, [](const JobRecord &) { return true; })) {
         append(effects, endUnserved(state, id, Reason::Stopping, Reason::Stopping, now));
     }
-    // An earlier life of these ids has run: "not run" would not be true.
+    // Tasks of an earlier job with the same id have run: "not run" would not be true.
     for (const auto &[id, waiting] : state.parked) {
         for (const Submission &submission : waiting) {
             effects.emplace_back(
@@ -66,7 +69,7 @@
     return effects;
 }
 
-/// Jobs past their time, or of which nothing could be placed in time to be of use.
+/// Ends jobs past their deadline, and jobs of which no task was ordered in time to be of use.
 Effects endOverdue(GatewayState &state, Common::Moment now, Common::Random &random)
 {
     Effects effects;
--- a/Source/Core/Transient/Jobs.h
+++ b/Source/Core/Transient/Jobs.h
@@ -13,35 +13,38 @@
 #include "Transient/JobTable.h"
 #include "Transient/RemainingTimeout.h"
 
-/// What a gateway does with transient jobs: one state machine that every event goes through, in the
-/// order in which the control thread meets it.
+/// State machine of a gateway for transient jobs. Every event goes through it, in the order in
+/// which the control thread handles events.
 ///
-/// No task of a job runs twice at the same time: a task goes to another agent only when the first
-/// has told that it is over there, or when it cannot run there any more since the agent has lost
-/// this gateway and its lease. A job that nobody waits for any more is stopped at once, so that its
-/// caller can submit it again elsewhere.
+/// No task of a job runs twice at the same time: a task is sent to another agent only when the
+/// first has reported that it is over there, or when it cannot run there any more since the agent
+/// has lost this gateway and the lease has lapsed. A job for which no caller waits any more is
+/// stopped at once, so that its caller can submit it again elsewhere.
 namespace Transient {
 
 struct GatewayTimes
 {
-    /// From the last that was heard of an agent until nothing runs there any more that was ordered
-    /// from here: the time for which it may act on what it last heard of this gateway, the lease at
-    /// the backend server, whose clock may be slow by a fiftieth, and slack for late timers.
+    /// Time from the last message of an agent until no run that this gateway ordered and whose
+    /// start was answered goes on there: the time for which the agent may act on the gateway's last
+    /// message, the lease at the backend server, whose clock may be slow by one fiftieth, and slack
+    /// for late timers.
     std::int64_t settleMs = 1700;
-    /// From the last that was heard of an agent until none of its starts takes effect any more that
-    /// was not answered: they were seen to arrive up to 12 s late, and what they start then may
-    /// hold the longest lease, 1 s by a clock that is slow by a fiftieth.
+    /// Time from the last message of an agent until nothing of its unanswered starts can run any
+    /// more: starts may arrive up to 12 s late, and a run that starts then may have the longest
+    /// lease, which is 1 s by a clock that is slow by one fiftieth.
     std::int64_t lateStartMs = 13'500;
-    /// After its start a gateway waits so long for agents before it refuses for lack of them.
+    /// Time after its start for which a gateway refuses no job for lack of backend servers, since
+    /// agents may still be connecting.
     std::int64_t gatherMs = 2000;
-    /// Time on the wire and in queues of the programs, from the caller and back.
+    /// Time on the network and in queues of the programs, from the caller and back.
     double overheadMs = 15;
-    /// A job's answer is remembered for so long: callers repeat requests that are on their way.
+    /// How long the answer of a job, or its highest attempt number, is kept: callers repeat
+    /// requests that are still in transit.
     std::int64_t retentionMs = 5000;
 };
 
-/// How long an agent that is gone is waited for, where it acts on what it last heard of a gateway
-/// for \a silenceMs and renews its tasks for \a leaseMs. See GatewayTimes::settleMs.
+/// Value of GatewayTimes::settleMs for agents that act on the last message of a gateway for
+/// \a silenceMs and renew leases for \a leaseMs.
 std::int64_t settleTimeMs(std::int64_t silenceMs, std::int64_t leaseMs);
 
 /// A submission as it arrives.
@@ -50,13 +53,13 @@
     std::string token;
     Schema::JobQueue queue;
     JobRequest request;
-    /// How long its caller waits.
+    /// How long its caller still waits.
     std::int64_t remainingTimeoutMs = 0;
 };
 
-/// The highest attempt of a job's last life here. Agents tell recent ends again on a new link:
-/// under the same number, one of the former life would end an attempt of the next life that goes
-/// on.
+/// Highest attempt number of a former job at this gateway, from which a new job with the same id
+/// counts on. Agents report recent ends again on a new connection: if the new job used the same
+/// numbers, the end of a former attempt would end one that still runs.
 struct FormerAttempts
 {
     std::int64_t highest = 0;
@@ -75,34 +78,38 @@
     AdmissionLimits limits;
     std::int64_t startedMs = 0;
     bool isStopping = false;
-    /// While stopping: nothing is let in that would end later.
+    /// While stopping: jobs that may end later are not admitted, and all others end by then.
     std::int64_t stopDeadlineMs = 0;
     Fleet fleet;
     /// By queue.
     std::unordered_map<std::string, PredictionError> predictionErrors;
-    /// By queue.
+    /// Usual remaining timeouts of callers, by queue.
     std::map<std::string, UsualRemainingTimeout> patiences;
     std::unordered_map<std::string, JobRecord> jobs;
     std::unordered_map<std::string, FinishedJob> finished;
     std::unordered_map<std::string, FormerAttempts> formerAttempts;
-    /// Until when other gateways say that agents hold jobs for others, by the gateway's instance
-    /// and the job.
+    /// Steady-clock times until which agents may have tasks of jobs of other gateways, as relayed
+    /// by gateways; by the instance of the relaying gateway and the job.
     std::map<std::string, std::map<std::string, std::int64_t>> relayedOrphans;
-    /// Submissions of ids whose last life is not over yet.
+    /// Submissions, by id, of which an earlier job with the same id may still have running tasks.
     std::unordered_map<std::string, std::vector<Submission>> parked;
-    /// What was learned is kept in the store and read at the start.
+    /// Learned times are written to the store, and read from it at the start.
     bool storesLearned = true;
+    /// Last round of timers.
     std::int64_t sweptMs = 0;
-    /// Tasks that wait for an agent.
+    /// Number of tasks that wait for an agent.
     int readyTasks = 0;
 };
 
+/// Handles a submission. If the job is known here, the request gets its result, or waits for it; it
+/// is parked while tasks of an earlier job with the same id may still run. Otherwise the job is
+/// admitted or refused.
 Effects jobSubmitted(GatewayState &state, Submission submission, Common::Moment now,
                      Common::Random &random);
-/// The connection of a request is gone.
+/// Handles a closed connection of a request. A job is ended when no request waits for it any more.
 Effects callerGone(GatewayState &state, const std::string &token, Common::Moment now);
 
-/// Its caller does not want it any more: nothing of it runs on.
+/// Ends a job at the request of its caller and withdraws its tasks.
 Effects jobCancelled(GatewayState &state, const std::string &id, Common::Moment now);
 
 Effects agentAnnounced(GatewayState &state, const Schema::AgentAnnouncement &announcement,
@@ -113,13 +120,15 @@
 Effects handleAgentDisconnected(GatewayState &state, const std::string &instance,
                                 Common::Moment now);
 
+/// Begins to stop: only jobs that end within \a timeoutMs are admitted; all others end by then.
 void beginStop(GatewayState &state, std::int64_t timeoutMs, Common::Moment now);
 
-/// Timers: deadlines, lost agents, tasks that wait.
+/// Runs the timers: deadlines, lost agents, parked submissions, tasks that wait for an agent.
 Effects tick(GatewayState &state, Common::Moment now, Common::Random &random);
+/// Time on the steady clock when tick() is due next.
 std::int64_t nextWakeMs(const GatewayState &state, Common::Moment now);
 
-/// Jobs of the queue that have no task with an agent yet.
+/// Number of jobs of the queue of which no task has been sent to an agent yet.
 std::int64_t waitingJobs(const GatewayState &state, const std::string &queue);
 
 } // namespace Transient
--- a/Source/Core/Transient/JobsInternal.h
+++ b/Source/Core/Transient/JobsInternal.h
@@ -7,24 +7,27 @@
 #include "Transient/Jobs.h"
 #include "Transient/Placement.h"
 
-/// What the parts of the state machine of jobs share; not for others.
+/// Functions shared by the source files of the job state machine; not part of its interface.
 namespace Transient {
 
-/// Told to callers where nothing says when a backend server will be there: by then a process that
-/// was killed is back.
+/// Retry time in refusals where it is unknown when a backend server will be available: by then a
+/// process that was killed is back.
 constexpr std::int64_t RetryMs = 1000;
 
+/// The integral part of \a value, for log fields.
 std::string text(double value);
 
 // Admit.cpp: submissions
 
+/// Admits or refuses a job whose id is unknown here.
 Effects admit(GatewayState &state, Submission submission, Common::Moment now,
               Common::Random &random);
-/// Lets submissions in that had to wait until their id's last life was over.
+/// Handles the parked submissions of \a id, unless an earlier job with this id is still known here
+/// or agents still have tasks of it for other gateways.
 Effects admitParked(GatewayState &state, const std::string &id, Common::Moment now,
                     Common::Random &random);
 
-// Orders.cpp: tasks on their way to agents
+// Orders.cpp: placement of tasks and orders to agents
 
 struct PlacedTask
 {
@@ -33,39 +36,46 @@
     Placement placement;
 };
 
-/// Finds agents for the job's ready tasks, without ordering anything yet.
+/// Chooses agents for the job's ready tasks and reserves processors for them. Sends no orders.
 std::vector<PlacedTask> placeReady(GatewayState &state, JobRecord &job, Common::Moment now,
                                    Common::Random &random);
+/// Reverts placeReady().
 void undoPlacing(GatewayState &state, JobRecord &job, const std::vector<PlacedTask> &placed);
-/// Sends the placed tasks to their agents, those of one step and agent in one message.
+/// Sends the placed tasks to their agents, one message for each step and agent.
 Effects orderTasks(GatewayState &state, JobRecord &job, const std::vector<PlacedTask> &placed,
                    Common::Moment now);
 Effects placeAndOrder(GatewayState &state, JobRecord &job, Common::Moment now,
                       Common::Random &random);
-/// All jobs that have tasks without an agent, the most urgent first.
+/// Places and orders the ready tasks of all jobs without a result, the most urgent jobs first.
 Effects placeWaiting(GatewayState &state, Common::Moment now, Common::Random &random);
 
-// Attempts.cpp: what becomes of a task at an agent
+// Attempts.cpp: reports of agents about attempts
 
+/// Handles the state of an attempt that the agent with this instance has reported. Reports of
+/// attempts that are not current are ignored.
 Effects handleAttemptState(GatewayState &state, const std::string &instance,
                            const Schema::AttemptState &reported, Common::Moment now,
                            Common::Random &random);
 
-// Answers.cpp: the end of a job
+// Answers.cpp: ends of jobs
 
 /// Attempts to withdraw, by the agent's instance.
 using Withdrawals = std::map<std::string, std::vector<Schema::TaskAttempt>>;
 
 void sendWithdrawals(Effects &effects, Withdrawals &withdrawals);
-/// Decides the job's answer. Its tasks that are with agents are withdrawn; the job is kept until
-/// each is over.
+/// Sets the job's result, answers its callers and withdraws the tasks that agents have. The job's
+/// record is kept until none of them can still run.
 Effects endJob(GatewayState &state, JobRecord &job, const JobResult &result, Common::Moment now);
+/// Removes a job that has a result and no tasks at agents. For GatewayTimes::retentionMs the answer
+/// is kept if the job succeeded or failed, otherwise the highest attempt number.
 void removeIfSettled(GatewayState &state, const std::string &id, Common::Moment now);
 
-// Agents.cpp: processes of agents that come and go
+// Agents.cpp: agents that connect, disconnect and restart
 
+/// Moves disconnected agents to the former agents once the leases of their runs have lapsed.
 void removeLostAgents(GatewayState &state, Effects &effects, Common::Moment now);
-/// Lost processes of agents, as far as time tells what became of their tasks.
+/// Ends the attempts at former agents when enough time has passed: first those whose starts were
+/// answered, as their leases have lapsed, then all others, as no start can arrive any more.
 Effects settleFormerAgents(GatewayState &state, Common::Moment now, Common::Random &random);
 
 } // namespace Transient
--- a/Source/Core/Transient/Orders.cpp
+++ b/Source/Core/Transient/Orders.cpp
@@ -4,7 +4,7 @@
 #include "Transient/JobsInternal.h"
 #include "Transient/Placement.h"
 
-/// Tasks on their way to agents.
+/// Places tasks and sends them to agents as orders.
 namespace Transient {
 
 namespace {
@@ -74,7 +74,7 @@
         TaskRecord &task = step.tasks[static_cast<std::size_t>(one.index)];
         AgentView &agent = state.fleet.agents.at(one.placement.agent);
         agent.tentativeProcessors = 0;
-        Common::invariant(task.phase == TaskPhase::Ready, "only a task that waits is ordered");
+        Common::invariant(task.phase == TaskPhase::Ready, "only a ready task is ordered");
         task.phase = TaskPhase::Ordered;
         task.attempt += 1;
         task.isStartAnswered = false;
