--- a/Source/Core/Transient/Backend.h
+++ b/Source/Core/Transient/Backend.h
@@ -8,11 +8,11 @@
 #include "Common/Common.h"
 #include "Schema/Schema.h"
 
-/// What an agent and its backend server say to each other about runs, whatever form it has on the
+/// Messages between an agent and its backend server about runs, independent of their form on the
 /// wire.
 namespace Transient {
 
-/// What a backend server tells its agent of itself.
+/// A backend server's announcement to its agent.
 struct BackendAnnouncement
 {
     std::string id;
@@ -22,40 +22,41 @@
     bool leaving = false;
     Schema::Resources resources;
     std::vector<std::string> labels;
-    /// Wall clock of its start: another value is another life, which knows nothing of before.
+    /// Wall clock at its start. Another value means another incarnation, which has no state of a
+    /// previous one.
     std::int64_t startedAtMs = 0;
-    /// Rises with each announcement of one life: a late one is told by it.
+    /// Increases with each announcement of an incarnation, so that a late one can be detected.
     std::int64_t sequence = 0;
 };
 
-/// One start of a task. number rises with each start of the task; the backend server rejects any
-/// that is not above the highest it has stopped or ended.
+/// One start of a task. The number increases with each start of the task; the backend server
+/// rejects any that is not above the highest that it has stopped or ended.
 struct RunStart
 {
     std::string task;
     std::int64_t number = 0;
     std::string payload;
-    /// On the backend server's clock: it ends what runs then.
+    /// On the backend server's clock; it ends the run at this time unless the lease is renewed.
     std::int64_t leaseUntilMs = 0;
-    /// The backend server obeys no lower one than it has seen.
+    /// The backend server rejects a fence that is lower than one it has received before.
     std::int64_t fence = 0;
 };
 
 enum class StartOutcome {
     Started,
-    /// A run of the task with this or a higher number was stopped or ended there.
+    /// A run of the task with this or a higher number was stopped or has ended there.
     NumberUsed,
     LeaseTooShort,
     NoRoom,
     Fenced,
     Malformed,
-    /// Did nothing: it is overloaded or unhealthy.
+    /// The backend server did nothing, as it is overloaded or unhealthy.
     Refused,
-    /// Another life of the backend server answered.
+    /// Another incarnation of the backend server answered.
     OtherIncarnation,
-    /// Nothing listens there.
+    /// No process listens at the address.
     NotConnected,
-    /// May have been carried out, or may still be.
+    /// The start may have taken effect, or may still do so.
     Unanswered
 };
 
@@ -74,7 +75,7 @@
 struct StartAnswer
 {
     StartOutcome outcome = StartOutcome::Unanswered;
-    /// Clock of the backend server, where it said so.
+    /// Clock of the backend server, if the answer contains it.
     std::optional<std::int64_t> clockMs;
 };
 
@@ -90,20 +91,20 @@
 {
     std::string task;
     std::int64_t number = 0;
-    /// Of its work done.
+    /// Share of its work that is done.
     int percent = 0;
 };
 
 struct EndedRun
 {
-    /// Ends are numbered from 1 in each life of the backend server.
+    /// Number of this end, counted from 1 in each incarnation of the backend server.
     std::int64_t position = 0;
     std::string task;
     std::int64_t number = 0;
     RunEnd end = RunEnd::Other;
 };
 
-/// Everything that runs, and the ends that were not acknowledged before.
+/// All active runs, and the ends that have not been acknowledged yet.
 struct Observation
 {
     std::int64_t clockMs = 0;
--- a/Source/Core/Transient/Decisions.h
+++ b/Source/Core/Transient/Decisions.h
@@ -7,7 +7,8 @@
 
 namespace Transient {
 
-/// Switches off what the settings name, so that an operator can see what each decision is worth.
+/// Switches off the decisions listed in the settings, so that an operator can see the effect of
+/// each.
 void switchOff(GatewayState &state, const std::vector<Schema::GatewayDecision> &disabled);
 
 } // namespace Transient
--- a/Source/Core/Transient/Discovery.cpp
+++ b/Source/Core/Transient/Discovery.cpp
@@ -7,16 +7,17 @@
 
 namespace {
 
-/// Failure: all processes start together, and agents that meet nobody yet pause ever longer; three
-/// of four gateways then had no agent for 0.5 s and refused their callers. A process that was
-/// killed is back within a second: so long the attempts come soon after each other. In the long run
-/// no gateway is dialled more than once a second by one process.
+/// Failure: all processes start at the same time, and agents that cannot connect yet pause longer
+/// after each attempt; three of four gateways then had no agent for 0.5 s and refused their
+/// callers. A process that was killed is back within a second, so that attempts follow each other
+/// quickly for that long. After that the pause grows until a process dials a gateway only once a
+/// second.
 constexpr int QuickRedials = 12;
 constexpr std::int64_t FirstRedialMs = 100;
 constexpr std::int64_t LongestRedialMs = 1000;
 constexpr int MaxDoublings = 4;
-/// An address that only hearsay names is given up after so long without an answer: by then whoever
-/// has its machine's successor at another address has told of that.
+/// An address that is not in the settings is removed after this long without a connection: by then
+/// others have reported the address of the machine that replaced it.
 constexpr std::int64_t AddressExpiryMs = 20'000;
 
 } // namespace
--- a/Source/Core/Transient/Effects.h
+++ b/Source/Core/Transient/Effects.h
@@ -10,8 +10,8 @@
 #include "Schema/Schema.h"
 #include "Transient/Job.h"
 
-/// What the decisions on transient jobs ask of the outside. The gateway's control thread, or a test
-/// in virtual time, carries them out in order.
+/// Actions that the decisions on transient jobs request. The gateway's control thread, or a test in
+/// virtual time, carries them out in order.
 namespace Transient {
 
 struct SendToAgent
@@ -28,7 +28,7 @@
     JobResult result;
 };
 
-/// Adds one to a counter labelled with a reason.
+/// Increments a counter that is labelled with a reason.
 struct CountReason
 {
     std::string counter;
@@ -42,7 +42,7 @@
     double seconds = 0;
 };
 
-/// One log line.
+/// Writes one log line.
 struct LogLine
 {
     std::string event;
--- a/Source/Core/Transient/Fleet.cpp
+++ b/Source/Core/Transient/Fleet.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// An end in less than this part of the expected time counts as fast: a backend server that fails
-/// all it starts does so at once.
+/// A run that ends within this fraction of its expected time counts as fast: a backend server that
+/// fails every run fails it at once.
 constexpr double FastShare = 0.3;
 
 std::size_t countEjected(const Fleet &fleet)
--- a/Source/Core/Transient/Fleet.h
+++ b/Source/Core/Transient/Fleet.h
@@ -13,13 +13,14 @@
 #include "Dispatch/Scheduling/Health.h"
 #include "Schema/Schema.h"
 
-/// What a gateway believes of the agents and their backend servers.
+/// State of the agents and their backend servers as known to a gateway.
 ///
-/// Load pattern: several gateways send work to the same backend servers. Each agent tells all of
-/// them how full it is; to that a gateway adds what it has sent since, so that its own orders are
-/// counted at once and only those of others are known late.
+/// Load pattern: several gateways send work to the same backend servers. Each agent reports its
+/// load to all of them. A gateway adds what it has sent since, so that its own orders count at once
+/// and only those of other gateways are known late.
 namespace Transient {
 
+/// An order that the agent's reported load does not include yet.
 struct UnreportedOrder
 {
     std::int64_t sequence = 0;
@@ -33,47 +34,49 @@
     bool isConnected = false;
     Schema::AgentLoad load;
     std::int64_t lastSequence = 0;
-    /// Orders that the load does not count yet.
+    /// Orders that the load does not include yet.
     std::deque<UnreportedOrder> unreported;
     double unreportedProcessors = 0;
-    /// Of the most urgent priority among these.
+    /// Processors of those with the most urgent priority among these.
     double unreportedUrgentProcessors = 0;
-    /// Of tasks being placed whose job is not yet let in.
+    /// Processors of tasks that are placed here but not ordered yet.
     double tentativeProcessors = 0;
+    /// When the load was received.
     std::int64_t loadAtMs = 0;
     Dispatch::BackendSpeed speed;
     Dispatch::HealthRecord health;
-    /// Tasks ordered from here that have not ended.
+    /// Number of tasks ordered by this gateway that have not ended.
     std::int64_t inFlight = 0;
-    /// Refused a start: gets none until then.
+    /// The agent returned a task for lack of room; until then it gets no others.
     std::int64_t pausedUntilMs = 0;
-    /// Of other gateways.
+    /// Jobs of other gateways, as the agent reported them last.
     Schema::OrphanedJobs orphans;
-    /// While not linked: when nothing that was ordered there can run any more.
+    /// While disconnected: time at which the leases of all runs with answered starts have lapsed.
     std::int64_t settledAtMs = 0;
 };
 
-/// A process of an agent that is lost, or that another one has followed. What it had started may
-/// run on until the new one has told that it is over, or until its leases have lapsed.
+/// An agent process that is lost, or that another one has replaced. What it had started may run on
+/// until the new process has reported that it is over, or until the leases have lapsed.
 struct FormerAgent
 {
     std::string instance;
     std::string name;
-    /// What had been answered as started has ended by then.
+    /// By then all runs with answered starts have ended.
     std::int64_t settledAtMs = 0;
+    /// The attempts with answered starts have been ended.
     bool isSettled = false;
-    /// Starts that had not been answered do not take effect any more.
+    /// By then nothing of the unanswered starts can run any more.
     std::int64_t lateStartsOverMs = 0;
-    /// Of other gateways, as it told them last.
+    /// Jobs of other gateways, as the process reported them last.
     Schema::OrphanedJobs orphans;
 };
 
-/// Baselines: each of these can be switched off.
+/// Decisions that can be switched off, to compare with a baseline.
 struct FleetDecisions
 {
-    /// Waits as the agents forecast them; otherwise from the mean time left.
+    /// Uses the agents' forecasts of waits; otherwise the mean time that their tasks still take.
     bool usesForecasts = true;
-    /// The pace that backend servers have at present.
+    /// Takes the present slowdown of backend servers into account.
     bool usesPaces = true;
     bool weighsWaits = true;
     bool learnsSpeeds = true;
@@ -85,8 +88,8 @@
 struct Fleet
 {
     FleetDecisions decisions;
-    /// By the agent's name, which it keeps when it starts again. Iterated in the order of names, so
-    /// that a seed replays.
+    /// By the agent's name, which stays the same when the agent restarts. Iterated in the order of
+    /// names, so that a seed reproduces a run.
     std::map<std::string, AgentView> agents;
     std::vector<FormerAgent> formerAgents;
     /// Speeds that other gateways had learned, by the agent's name.
@@ -94,20 +97,22 @@
     Dispatch::Estimates estimates;
 };
 
-/// The agent with this instance, if it is the one known under its name.
+/// The agent with this instance; null if it is unknown or another process has replaced it.
 AgentView *findAgent(Fleet &fleet, const std::string &instance);
 
-/// True where the agent takes tasks of \a service at present.
+/// True if the agent takes tasks of \a service at present.
 bool acceptsTasks(const AgentView &agent, const std::string &service, std::int64_t nowMs);
 
+/// Processors of all tasks that run, wait or are placed at the agent, as far as is known.
 double committedProcessors(const AgentView &agent);
-/// Room for more, as far as is known; may be negative.
+/// Processors for further tasks, as far as is known; may be negative.
 double freeProcessors(const AgentView &agent);
 
+/// Takes over a reported load and drops the orders that it includes.
 void loadReported(AgentView &agent, const Schema::AgentLoad &load, std::int64_t nowMs);
-/// Tasks of this priority pass all others that wait at the agent.
+/// True if tasks of this priority go ahead of all others that wait at the agent.
 bool hasUrgentPriority(const AgentView &agent, std::int64_t priority);
-/// Counts an order of \a tasks tasks; returns its sequence.
+/// Counts an order of \a tasks tasks that need \a processors in all. Returns its sequence number.
 std::int64_t countOrder(AgentView &agent, double processors, std::int64_t priority,
                         std::int64_t tasks);
 
@@ -118,11 +123,12 @@
     std::int64_t runMs = 0;
 };
 
-/// Learns from a task's end. True where the agent was ejected for it.
+/// Updates run time estimates and the health of the backend server after a run. Returns true if the
+/// backend server was ejected.
 bool runEnded(Fleet &fleet, AgentView &agent, Dispatch::ProfileId profile,
               const RunOutcome &outcome, std::int64_t nowMs);
 
-/// Lets ejected backend servers have their trial when it is due.
+/// Begins the trial of backend servers whose ejection is over.
 void advanceFleet(Fleet &fleet, std::int64_t nowMs);
 
 } // namespace Transient
--- a/Source/Core/Transient/Learned.cpp
+++ b/Source/Core/Transient/Learned.cpp
@@ -6,17 +6,20 @@
 
 namespace {
 
-/// Speeds change within seconds, and a record that is this old still tells fast from slow.
+/// Speeds change within seconds, but a record of this age still distinguishes fast backend servers
+/// from slow ones.
 constexpr std::int64_t ShortestPauseMs = 5000;
-/// Some 90 bytes an agent: 1.8 KB/s at any size of the fleet, a seventh of what a node may spend.
+/// About 90 bytes for each agent: 1.8 KB/s for a fleet of any size, a seventh of what a node may
+/// use.
 constexpr std::int64_t PausePerAgentMs = 50;
 
-/// Between two attempts at reading what other gateways have learned.
+/// Pause between two attempts to read what other gateways have learned.
 constexpr std::int64_t ReadRetryMs = 1000;
-/// By then a gateway knows more by itself: a hundred tasks a second show each backend server.
+/// After this time a gateway has learned more by itself: a hundred tasks per second reach every
+/// backend server.
 constexpr std::int64_t ReadUntilMs = 10'000;
 
-/// Longer than any caller waits: a figure beyond it was not learned.
+/// Longer than any caller waits: a greater value cannot have been learned.
 constexpr double LongestRemainingTimeoutMs = 300'000;
 
 bool isPlausible(const Schema::LearnedPatience &remainingTimeout)
--- a/Source/Core/Transient/Learned.h
+++ b/Source/Core/Transient/Learned.h
@@ -8,44 +8,50 @@
 #include "Schema/Schema.h"
 #include "Transient/Jobs.h"
 
-/// What a gateway has learned of run times and callers, so that another one can start with it.
+/// Saves and restores what a gateway has learned about run times and callers, so that another one
+/// can start with it.
 ///
-/// Load pattern: all gateways lose their memory at once, and the callers' requests of the meantime
-/// come together. Without memory every backend server counts as equally fast, and those that take
-/// twice as long get as many tasks: in the first two seconds a quarter of the late jobs waited for
-/// one of eleven backend servers.
+/// Load pattern: all gateways restart at once and lose what they have learned, and the requests
+/// that callers have made meanwhile arrive together. Without the saved values every backend server
+/// counts as equally fast, and those that take twice as long get as many tasks: in the first two
+/// seconds a quarter of the late jobs waited for one of eleven backend servers.
 namespace Transient {
 
+/// Creates the record of what this gateway has learned. \a gateway is its instance.
 Schema::LearnedTimes learnedTimes(const GatewayState &state, const std::string &gateway,
                                   Common::Moment now);
 
-/// Takes over what this gateway doesn't know as well by itself. Of several records the first one
-/// that tells of a thing counts: the newest has to come first.
+/// Takes over values for which this gateway has fewer samples itself. Of several records the newest
+/// has to come first: the speed of an agent is taken from the first record that has one, and any
+/// other value is replaced only by one with more samples.
 void recallTimes(GatewayState &state, const Schema::LearnedTimes &learned);
 
-/// The speed of an agent that has just announced itself, where it is remembered.
+/// Takes over the recalled speed of an agent that has just announced itself, unless its labels
+/// differ.
 void recallSpeedOf(Fleet &fleet, AgentView &agent);
 
 /// When what was learned is read and written.
 struct LearnedSchedule
 {
     std::int64_t startedMs = 0;
-    /// None once the records are known, or not worth reading any more.
+    /// None once the records have been read or are no longer worth reading.
     std::optional<std::int64_t> nextReadMs;
     std::int64_t nextWriteMs = 0;
 };
 
-/// A gateway that starts at \a now reads at once, and writes once it has had time to learn.
+/// Schedule of a gateway that starts at \a now: it reads at once, and writes after the first pause,
+/// when it has had time to learn.
 LearnedSchedule scheduleLearned(const Fleet &fleet, Common::Moment now);
 
-/// Whether the records are to be read now. The store may be silent when a gateway starts: they are
-/// asked for until they come, or until the gateway has learned more than they tell.
+/// Returns true if the records have to be read now, and schedules the next attempt. The store may
+/// not answer when a gateway starts: reading is repeated until it succeeds, or until the gateway
+/// has learned more than the records contain.
 bool takeReadDue(LearnedSchedule &schedule, Common::Moment now);
-/// The records have come.
+/// The records have been read: ends the attempts.
 void learnedRead(LearnedSchedule &schedule);
 
-/// Whether a record is to be written now. The record grows with the fleet, so that the pause until
-/// the next one does, too.
+/// Returns true if a record has to be written now, and schedules the next one. The pause between
+/// records grows with the fleet, since the record does.
 bool takeWriteDue(LearnedSchedule &schedule, const Fleet &fleet, Common::Moment now);
 
 } // namespace Transient
--- a/Source/Core/Transient/Orphans.cpp
+++ b/Source/Core/Transient/Orphans.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Agents tell their jobs in order.
+/// Agents report jobs in sorted order.
 bool contains(const std::vector<std::string> &jobs, const std::string &id)
 {
     return std::binary_search(jobs.begin(), jobs.end(), id);
@@ -19,7 +19,8 @@
     return contains(agent.orphans.held, id) || contains(agent.orphans.unanswered, id);
 }
 
-/// Of a lost agent: leases lapse, while starts on their way may still arrive until it is forgotten.
+/// For a former agent: held jobs end when their leases have lapsed, while unanswered starts may
+/// take effect until the former agent is removed.
 bool isHeldBy(const FormerAgent &former, const std::string &id, Common::Moment now)
 {
     return contains(former.orphans.unanswered, id)
@@ -35,7 +36,7 @@
                        });
 }
 
-/// The longest time that each job is known to be held for.
+/// Collects for each job the longest time for which an agent may still have tasks of it.
 class RelayList
 {
 public:
--- a/Source/Core/Transient/Orphans.h
+++ b/Source/Core/Transient/Orphans.h
@@ -2,21 +2,21 @@
 
 #include "Transient/Jobs.h"
 
-/// Jobs that agents hold for gateways which may be gone.
+/// Jobs of which agents have tasks for other gateways that may be lost.
 namespace Transient {
 
-/// Something of the job \a id may run that another gateway had ordered.
+/// True if tasks of the job \a id that another gateway ordered may still run.
 bool isOrphaned(const GatewayState &state, const std::string &id, Common::Moment now);
 
-/// What agents have told this gateway, for other gateways: one that has just started, or that an
-/// agent cannot reach, hears of it no other way.
+/// Orphaned jobs that agents have reported here, to be relayed to other gateways: one that has just
+/// started, or that an agent cannot reach, learns of them in no other way.
 std::vector<Schema::OrphanedJob> orphansToRelay(const GatewayState &state, Common::Moment now);
 
-/// \a gateway has told all that it knows.
+/// Takes over the complete list of orphaned jobs that \a gateway has relayed, in place of its last.
 void orphansRelayed(GatewayState &state, const std::string &gateway,
                     const std::vector<Schema::OrphanedJob> &orphans, Common::Moment now);
 
-/// Lets submissions in that waited for their former gateway's tasks to be over.
+/// Handles parked submissions of ids of which no earlier tasks can run any more.
 Effects admitReleased(GatewayState &state, Common::Moment now, Common::Random &random);
 
 } // namespace Transient
--- a/Source/Core/Transient/Queues.h
+++ b/Source/Core/Transient/Queues.h
@@ -4,15 +4,15 @@
 
 #include "Schema/Schema.h"
 
-/// Which queue a request belongs to.
+/// Queue table, and the queue that a request belongs to.
 namespace Transient {
 
-/// Takes \a newer over. False where it isn't newer than what is in force: a process never goes
-/// back.
+/// Replaces the table in force by \a newer. Returns false, and changes nothing, if that is not
+/// newer: a process never goes back to an older table.
 bool takeQueues(Schema::QueueTable &inForce, Schema::QueueTable newer);
 
-/// The queue of \a host with the longest path that \a path begins with; null where there is none.
-/// Paths of queues overlap.
+/// The queue of \a host with the longest path that is a prefix of \a path; null if there is none.
+/// The paths of queues may overlap.
 const Schema::JobQueue *findQueue(const Schema::QueueTable &queues, const std::string &host,
                                   const std::string &path);
 
--- a/Source/Core/Transient/RemainingTimeout.cpp
+++ b/Source/Core/Transient/RemainingTimeout.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// The shortest of so many is the first guess.
+/// The shortest of this many samples is the first estimate.
 constexpr std::int64_t FirstSamples = 40;
-/// Share of the callers that may have less.
+/// Share of the callers that may have less than the usual remaining timeout.
 constexpr double LowQuantile = 0.05;
-/// Of the figure, for a sample. A second of a hundred callers that have waited lowers the figure by
-/// a fifth; it is back after two thousand usual ones.
+/// Relative change of the estimate for a sample. A hundred callers that have waited, as may come in
+/// a second, lower the estimate by a fifth; it recovers after two thousand usual ones.
 constexpr double SampleStep = 0.002;
-/// Network and queues of the programs take some of everybody's time.
+/// The network and queues of the programs take part of the timeout of every caller.
 constexpr double SlackMs = 50;
 
 } // namespace
--- a/Source/Core/Transient/RemainingTimeout.h
+++ b/Source/Core/Transient/RemainingTimeout.h
@@ -2,27 +2,28 @@
 
 #include <cstdint>
 
-/// How long a caller has waited before its request reached a gateway.
+/// Estimates how long a caller has waited before its request reached a gateway.
 ///
-/// Load pattern: all gateways are gone for a second. Callers' connections wait meanwhile, and all
-/// come in the first half second after, together with the usual ones. The target of those that have
-/// waited is over; served first come first served, they make the fresh ones late as well: of 319
-/// jobs of the next two seconds 107 were in time. A request says how long its caller still waits,
-/// and the callers of a queue are alike: what one has less than nearly all others have, it has
-/// waited.
+/// Load pattern: all gateways are down for a second. Callers' connections wait meanwhile and all
+/// arrive within the half second after it, together with the usual ones. The target time of those
+/// that have waited has passed; in order of arrival, they would make the new ones late as well: of
+/// 319 jobs of the next two seconds 107 were in time. A request contains the caller's remaining
+/// timeout, and the callers of a queue have similar timeouts. The time by which a remaining timeout
+/// is shorter than that of nearly all other callers is therefore taken as time already waited.
 namespace Transient {
 
 struct UsualRemainingTimeout
 {
-    /// That nineteen of twenty callers have left, or more, when they reach a gateway.
+    /// Estimate of the remaining timeout that nineteen of twenty callers have, or more, when they
+    /// reach a gateway.
     double usualMs = 0;
     std::int64_t samples = 0;
 };
 
+/// Updates the estimate with the remaining timeout of a caller.
 void observeRemainingTimeout(UsualRemainingTimeout &usual, std::int64_t remainingTimeoutMs);
 
-/// For at least how long a caller with \a remainingTimeoutMs left has waited; 0 while little is
-/// known.
+/// Least time that a caller with this remaining timeout has waited; 0 while there are few samples.
 std::int64_t waitedBeforeMs(const UsualRemainingTimeout &usual, std::int64_t remainingTimeoutMs);
 
 } // namespace Transient
--- a/Source/Core/Transient/Resubmission.h
+++ b/Source/Core/Transient/Resubmission.h
@@ -2,38 +2,39 @@
 
 #include <cstdint>
 
-/// Why nothing of a job runs any more when its caller has submitted it again at another gateway,
-/// though the first gateway and agents may have died meanwhile.
+/// Times which ensure that nothing of a job runs any more when its caller submits it again at
+/// another gateway, although the first gateway and agents may have crashed meanwhile.
 ///
-/// An agent tells all gateways which jobs it holds for one that it has not heard from for a while,
-/// and they start nothing of these. An agent that dies before it has told has renewed no lease
-/// since: its runs are over when the caller is back.
+/// An agent reports to all gateways the jobs that it has tasks of for a gateway from which it has
+/// received no message for a while, and they start nothing of these jobs. If an agent crashes
+/// before its report, it has renewed no lease since, and its runs are over when the caller submits
+/// again.
 namespace Transient {
 
-/// A caller whose connection broke submits again no sooner.
+/// A caller whose connection broke submits again no sooner than after this time.
 constexpr std::int64_t ResubmitMs = 1300;
-/// For how long an agent acts on what it last heard of a gateway.
+/// How long an agent acts on the last message of a gateway.
 constexpr std::int64_t GrantMs = 800;
-/// That each renewal grants to what runs.
+/// Duration of the lease that each renewal grants to a run.
 constexpr std::int64_t LeaseMs = 700;
-/// A backend server's clock may be slow by one part in so many.
+/// A backend server's clock may be slow by one part in this many.
 constexpr std::int64_t ClockDriftDivisor = 50;
-/// From the moment at which an agent has to tell until the gateways know: late timers, the wire.
+/// Time from when an agent has to report until the gateways know: late timers and the network.
 constexpr std::int64_t NotificationMs = 80;
 
-/// By the clock of the agent, where the backend server's is slow.
+/// Duration by the agent's clock of \a ms on the clock of a backend server that is slow.
 constexpr std::int64_t onSlowClockMs(std::int64_t ms)
 {
     return ms + ms / ClockDriftDivisor;
 }
 
-/// How old the last sign of a gateway may get until the agent tells the others of its jobs.
+/// Age of a gateway's last message at which an agent reports that gateway's jobs to the others.
 constexpr std::int64_t suspectTimeMs(std::int64_t leaseMs)
 {
     return ResubmitMs - NotificationMs - onSlowClockMs(leaseMs);
 }
 
-/// Signs of a gateway that is well are up to two heartbeats old.
+/// The last message of a gateway that works is up to two heartbeats old.
 constexpr std::int64_t UsualMessageAgeMs = 500;
 static_assert(suspectTimeMs(LeaseMs) >= UsualMessageAgeMs);
 static_assert(suspectTimeMs(LeaseMs) < GrantMs);
--- a/Source/Core/Transient/Transient.h
+++ b/Source/Core/Transient/Transient.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Public header of the decisions on transient jobs: what a gateway does with them, and the types
-/// it shares with the agents and with the adapter for the platform.
+/// Public header of the decisions on transient jobs: how a gateway handles them, and the types that
+/// it shares with the agents and with the platform adapter.
 #include "Transient/Backend.h"
 #include "Transient/Decisions.h"
 #include "Transient/Discovery.h"
