--- a/Source/Core/Transient/Resubmission.h
+++ b/Source/Core/Transient/Resubmission.h
@@ -7,8 +7,8 @@
 ///
 /// An agent reports to all gateways the jobs that it has tasks of for a gateway from which it has
 /// received no message for a while, and they start nothing of these jobs. If an agent crashes
-/// before its report, it has renewed no lease since, and its runs are over when the caller submits
-/// again.
+/// before its report, it renews no lease after that time either, and its runs are over when the
+/// caller submits again.
 namespace Transient {
 
 /// A caller whose connection broke submits again no sooner than after this time.
