--- a/Source/Core/Gateway/TransientCallers.cpp
+++ b/Source/Core/Gateway/TransientCallers.cpp
@@ -225,7 +225,8 @@
     }
     for (const std::string &token : left) {
         this->requests.erase(token);
-        this->carryOut(Transient::callerGone(this->control.state, token, this->control.now));
+        this->carryOut(
+                Transient::handleCallerDisconnected(this->control.state, token, this->control.now));
     }
 }
 
--- a/Source/Core/Gateway/TransientLinks.cpp
+++ b/Source/Core/Gateway/TransientLinks.cpp
@@ -114,9 +114,9 @@
     Transient::addGateway(this->control.discovery, Transient::addressOf(announcement.gateway),
                           this->control.now);
     Transient::addGateways(this->control.discovery, announcement.others, this->control.now);
-    Transient::orphansRelayed(this->control.state, announcement.gateway.instance,
-                              announcement.orphans.value_or(std::vector<Schema::OrphanedJob>{}),
-                              this->control.now);
+    Transient::updateRelayedOrphans(
+            this->control.state, announcement.gateway.instance,
+            announcement.orphans.value_or(std::vector<Schema::OrphanedJob>{}), this->control.now);
     if (announcement.queuesVersion < this->control.queues.version) {
         this->sendQueues(id);
     }
--- a/Source/Core/Gateway/TransientStore.cpp
+++ b/Source/Core/Gateway/TransientStore.cpp
@@ -84,7 +84,7 @@
     if (!event.available) {
         return;
     }
-    Transient::learnedRead(this->learned);
+    Transient::finishReading(this->learned);
     for (const Schema::LearnedTimes &times : event.learned) {
         Transient::recallTimes(this->control.state, times);
         Common::logEvent(LogLevel::Info, "times_recalled",
--- a/Source/Core/Transient/Agents.cpp
+++ b/Source/Core/Transient/Agents.cpp
@@ -225,7 +225,7 @@
     agent.orphans = announcement.orphans.value_or(Schema::OrphanedJobs{});
     agent.isConnected = true;
     recallSpeedOf(state.fleet, agent);
-    loadReported(agent, announcement.load, now.steadyMs);
+    updateLoad(agent, announcement.load, now.steadyMs);
     if (isNewConnection) {
         append(effects, settleAttempts(state, announcement.instance, announcement.held,
                                        AttemptPhase::NotStarted, now, random));
@@ -246,7 +246,7 @@
     if (agent == nullptr) {
         return effects;
     }
-    loadReported(*agent, report.load, now.steadyMs);
+    updateLoad(*agent, report.load, now.steadyMs);
     if (report.orphans) {
         agent->orphans = *report.orphans;
     }
--- a/Source/Core/Transient/Attempts.cpp
+++ b/Source/Core/Transient/Attempts.cpp
@@ -22,9 +22,9 @@
     if (agent != state.fleet.agents.end()) {
         agent->second.inFlight = std::max<std::int64_t>(0, agent->second.inFlight - 1);
     }
-    const auto there = step.tasksByAgent.find(task.agent);
-    if (there != step.tasksByAgent.end() && there->second > 0) {
-        --there->second;
+    const auto tasksAtAgent = step.tasksByAgent.find(task.agent);
+    if (tasksAtAgent != step.tasksByAgent.end() && tasksAtAgent->second > 0) {
+        --tasksAtAgent->second;
     }
 }
 
@@ -71,7 +71,7 @@
     outcome.succeeded = reported.phase == AttemptPhase::Succeeded;
     outcome.expectedMs = task.expectedMs;
     outcome.runMs = reported.runMs;
-    if (runEnded(state.fleet, agent->second, step.profile, outcome, now.steadyMs)) {
+    if (recordRunOutcome(state.fleet, agent->second, step.profile, outcome, now.steadyMs)) {
         effects.emplace_back(LogLine{
                 "backend_ejected",
                 {{"agent", task.agent},
--- a/Source/Core/Transient/Fleet.cpp
+++ b/Source/Core/Transient/Fleet.cpp
@@ -53,7 +53,7 @@
     return agent.announced.resources.processors - committedProcessors(agent);
 }
 
-void loadReported(AgentView &agent, const Schema::AgentLoad &load, std::int64_t nowMs)
+void updateLoad(AgentView &agent, const Schema::AgentLoad &load, std::int64_t nowMs)
 {
     agent.load = load;
     agent.loadAtMs = nowMs;
@@ -85,8 +85,8 @@
     return agent.lastSequence;
 }
 
-bool runEnded(Fleet &fleet, AgentView &agent, Dispatch::ProfileId profile,
-              const RunOutcome &outcome, std::int64_t nowMs)
+bool recordRunOutcome(Fleet &fleet, AgentView &agent, Dispatch::ProfileId profile,
+                      const RunOutcome &outcome, std::int64_t nowMs)
 {
     if (outcome.succeeded && outcome.runMs > 0) {
         Dispatch::learnRun(fleet.estimates, profile, agent.speed,
--- a/Source/Core/Transient/Fleet.h
+++ b/Source/Core/Transient/Fleet.h
@@ -109,7 +109,7 @@
 double freeProcessors(const AgentView &agent);
 
 /// Takes over a reported load and drops the orders that it includes.
-void loadReported(AgentView &agent, const Schema::AgentLoad &load, std::int64_t nowMs);
+void updateLoad(AgentView &agent, const Schema::AgentLoad &load, std::int64_t nowMs);
 /// True if tasks of this priority go ahead of all others that wait at the agent.
 bool hasUrgentPriority(const AgentView &agent, std::int64_t priority);
 /// Counts an order of \a tasks tasks that need \a processors in all. Returns its sequence number.
@@ -125,8 +125,8 @@
 
 /// Updates run time estimates and the health of the backend server after a run. Returns true if the
 /// backend server was ejected.
-bool runEnded(Fleet &fleet, AgentView &agent, Dispatch::ProfileId profile,
-              const RunOutcome &outcome, std::int64_t nowMs);
+bool recordRunOutcome(Fleet &fleet, AgentView &agent, Dispatch::ProfileId profile,
+                      const RunOutcome &outcome, std::int64_t nowMs);
 
 /// Begins the trial of backend servers whose ejection is over.
 void advanceFleet(Fleet &fleet, std::int64_t nowMs);
--- a/Source/Core/Transient/Jobs.cpp
+++ b/Source/Core/Transient/Jobs.cpp
@@ -151,7 +151,7 @@
     return effects;
 }
 
-Effects callerGone(GatewayState &state, const std::string &token, Common::Moment now)
+Effects handleCallerDisconnected(GatewayState &state, const std::string &token, Common::Moment now)
 {
     for (auto &[id, waiting] : state.parked) {
         waiting.erase(
--- a/Source/Core/Transient/Jobs.h
+++ b/Source/Core/Transient/Jobs.h
@@ -107,7 +107,7 @@
 Effects jobSubmitted(GatewayState &state, Submission submission, Common::Moment now,
                      Common::Random &random);
 /// Handles a closed connection of a request. A job is ended when no request waits for it any more.
-Effects callerGone(GatewayState &state, const std::string &token, Common::Moment now);
+Effects handleCallerDisconnected(GatewayState &state, const std::string &token, Common::Moment now);
 
 /// Ends a job at the request of its caller and withdraws its tasks.
 Effects jobCancelled(GatewayState &state, const std::string &id, Common::Moment now);
--- a/Source/Core/Transient/Learned.cpp
+++ b/Source/Core/Transient/Learned.cpp
@@ -110,7 +110,7 @@
     return true;
 }
 
-void learnedRead(LearnedSchedule &schedule)
+void finishReading(LearnedSchedule &schedule)
 {
     schedule.nextReadMs.reset();
 }
--- a/Source/Core/Transient/Learned.h
+++ b/Source/Core/Transient/Learned.h
@@ -48,7 +48,7 @@
 /// has learned more than the records contain.
 bool takeReadDue(LearnedSchedule &schedule, Common::Moment now);
 /// The records have been read: ends the attempts.
-void learnedRead(LearnedSchedule &schedule);
+void finishReading(LearnedSchedule &schedule);
 
 /// Returns true if a record has to be written now, and schedules the next one. The pause between
 /// records grows with the fleet, since the record does.
--- a/Source/Core/Transient/Orphans.cpp
+++ b/Source/Core/Transient/Orphans.cpp
@@ -84,8 +84,8 @@
     return list.list();
 }
 
-void orphansRelayed(GatewayState &state, const std::string &gateway,
-                    const std::vector<Schema::OrphanedJob> &orphans, Common::Moment now)
+void updateRelayedOrphans(GatewayState &state, const std::string &gateway,
+                          const std::vector<Schema::OrphanedJob> &orphans, Common::Moment now)
 {
     if (orphans.empty()) {
         state.relayedOrphans.erase(gateway);
--- a/Source/Core/Transient/Orphans.h
+++ b/Source/Core/Transient/Orphans.h
@@ -13,8 +13,8 @@
 std::vector<Schema::OrphanedJob> orphansToRelay(const GatewayState &state, Common::Moment now);
 
 /// Takes over the complete list of orphaned jobs that \a gateway has relayed, in place of its last.
-void orphansRelayed(GatewayState &state, const std::string &gateway,
-                    const std::vector<Schema::OrphanedJob> &orphans, Common::Moment now);
+void updateRelayedOrphans(GatewayState &state, const std::string &gateway,
+                          const std::vector<Schema::OrphanedJob> &orphans, Common::Moment now);
 
 /// Handles parked submissions of ids of which no earlier tasks can run any more.
 Effects admitReleased(GatewayState &state, Common::Moment now, Common::Random &random);
--- a/Source/UnitTests/Transient/DecisionTest.cpp
+++ b/Source/UnitTests/Transient/DecisionTest.cpp
@@ -359,11 +359,11 @@
     Schema::AgentLoad load;
     load.committedProcessors = 12;
     load.lastOrder = first;
-    loadReported(agent, load, 1);
+    updateLoad(agent, load, 1);
     CHECK(committedProcessors(agent) == doctest::Approx(18));
     load.lastOrder = second;
     load.committedProcessors = 18;
-    loadReported(agent, load, 2);
+    updateLoad(agent, load, 2);
     CHECK(committedProcessors(agent) == doctest::Approx(18));
     CHECK(agent.inFlight == 3);
 }
--- a/Source/UnitTests/Transient/JobsTest.cpp
+++ b/Source/UnitTests/Transient/JobsTest.cpp
@@ -160,7 +160,8 @@
     Fixture site;
     const Submission first = site.submission("job", {stepOf(1)});
     jobSubmitted(site.state, first, at(1), site.random);
-    CHECK(withdrawnTasks(callerGone(site.state, first.token, at(20))) == Names{"job.0.0"});
+    CHECK(withdrawnTasks(handleCallerDisconnected(site.state, first.token, at(20)))
+          == Names{"job.0.0"});
     const Effects again =
             jobSubmitted(site.state, site.submission("job", {stepOf(1)}), at(30), site.random);
     CHECK(orderedTasks(again).empty());
@@ -417,7 +418,7 @@
     Fixture site;
     const Submission first = site.submission("job", {stepOf(1)});
     CHECK(orderedTasks(jobSubmitted(site.state, first, at(1), site.random)).size() == 1);
-    callerGone(site.state, first.token, at(50));
+    handleCallerDisconnected(site.state, first.token, at(50));
     const Submission second = site.submission("job", {stepOf(1)});
     REQUIRE(orderedTasks(jobSubmitted(site.state, second, at(60), site.random)).empty());
     handleAgentDisconnected(site.state, "agent-1", at(70));
--- a/Source/UnitTests/Transient/LearnedTest.cpp
+++ b/Source/UnitTests/Transient/LearnedTest.cpp
@@ -41,8 +41,8 @@
     for (int run = 0; run < 200; ++run) {
         AgentView &fast = state.fleet.agents.at("fast");
         AgentView &slow = state.fleet.agents.at("slow");
-        runEnded(state.fleet, fast, profile, {true, 100, 100}, run);
-        runEnded(state.fleet, slow, profile, {true, 100, 300}, run);
+        recordRunOutcome(state.fleet, fast, profile, {true, 100, 100}, run);
+        recordRunOutcome(state.fleet, slow, profile, {true, 100, 300}, run);
         observeRemainingTimeout(state.patiences[Queue], 1800 + run);
     }
     return state;
@@ -201,7 +201,7 @@
         int reads = 0;
         for (std::int64_t passedMs = 0; passedMs <= LastMs; ++passedMs) {
             if (passedMs == row.answeredMs) {
-                learnedRead(schedule);
+                finishReading(schedule);
             }
             reads += takeReadDue(schedule, at(StartMs + passedMs)) ? 1 : 0;
         }
--- a/Source/UnitTests/Transient/TransientWorld.cpp
+++ b/Source/UnitTests/Transient/TransientWorld.cpp
@@ -675,7 +675,7 @@
                 return;
             }
             handTo(world, receiver, [&world, &receiver, orphans, instance] {
-                Transient::orphansRelayed(receiver.state, instance, orphans, moment(world));
+                Transient::updateRelayedOrphans(receiver.state, instance, orphans, moment(world));
             });
         });
     }
@@ -771,7 +771,8 @@
                 SiteGateway &process = gatewayAt(world, gateway);
                 if (process.isUp) {
                     carryOut(world, gateway,
-                             Transient::callerGone(process.state, token, moment(world)));
+                             Transient::handleCallerDisconnected(process.state, token,
+                                                                 moment(world)));
                 }
             });
             resubmitLater(world, number);
