--- a/Source/Core/Gateway/TransientStore.cpp
+++ b/Source/Core/Gateway/TransientStore.cpp
@@ -70,7 +70,7 @@
 
 void TransientStore::readLearned()
 {
-    if (!this->control.state.remembers
+    if (!this->control.state.storesLearned
         || !Transient::takeReadDue(this->learned, this->control.now)) {
         return;
     }
@@ -84,7 +84,7 @@
     if (!event.available) {
         return;
     }
-    Transient::learnedRead(this->learned);
+    Transient::finishReading(this->learned);
     for (const Schema::LearnedTimes &times : event.learned) {
         Transient::recallTimes(this->control.state, times);
         Common::logEvent(LogLevel::Info, "times_recalled",
@@ -98,7 +98,7 @@
 void TransientStore::writeLearned()
 {
     const TransientControl &control = this->control;
-    if (!control.state.remembers
+    if (!control.state.storesLearned
         || !Transient::takeWriteDue(this->learned, control.state.fleet, control.now)) {
         return;
     }
--- a/Source/Core/Transient/Fleet.cpp
+++ b/Source/Core/Transient/Fleet.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// An end in less than this part of the expected time counts as fast: a backend server that fails
-/// all it starts does so at once.
+/// A run that ends within this fraction of its expected time counts as fast: a backend server that
+/// fails every run fails it at once.
 constexpr double FastShare = 0.3;
 
 std::size_t countEjected(const Fleet &fleet)
@@ -33,9 +33,9 @@
     return nullptr;
 }
 
-bool takesWork(const AgentView &agent, const std::string &service, std::int64_t nowMs)
+bool acceptsTasks(const AgentView &agent, const std::string &service, std::int64_t nowMs)
 {
-    if (!agent.isLinked || !agent.announced.accepting || agent.announced.service != service
+    if (!agent.isConnected || !agent.announced.accepting || agent.announced.service != service
         || nowMs < agent.pausedUntilMs) {
         return false;
     }
@@ -53,7 +53,7 @@
     return agent.announced.resources.processors - committedProcessors(agent);
 }
 
-void loadReported(AgentView &agent, const Schema::AgentLoad &load, std::int64_t nowMs)
+void updateLoad(AgentView &agent, const Schema::AgentLoad &load, std::int64_t nowMs)
 {
     agent.load = load;
     agent.loadAtMs = nowMs;
@@ -69,14 +69,15 @@
     }
 }
 
-bool isUrgentThere(const AgentView &agent, std::int64_t priority)
+bool hasUrgentPriority(const AgentView &agent, std::int64_t priority)
 {
     return priority <= agent.load.urgentPriority;
 }
 
-std::int64_t ordered(AgentView &agent, double processors, std::int64_t priority, std::int64_t tasks)
+std::int64_t countOrder(AgentView &agent, double processors, std::int64_t priority,
+                        std::int64_t tasks)
 {
-    const bool isUrgent = isUrgentThere(agent, priority);
+    const bool isUrgent = hasUrgentPriority(agent, priority);
     agent.unreported.push_back({++agent.lastSequence, processors, isUrgent});
     agent.unreportedProcessors += processors;
     agent.unreportedUrgentProcessors += isUrgent ? processors : 0;
@@ -84,8 +85,8 @@
     return agent.lastSequence;
 }
 
-bool runEnded(Fleet &fleet, AgentView &agent, Dispatch::ProfileId profile,
-              const RunOutcome &outcome, std::int64_t nowMs)
+bool recordRunOutcome(Fleet &fleet, AgentView &agent, Dispatch::ProfileId profile,
+                      const RunOutcome &outcome, std::int64_t nowMs)
 {
     if (outcome.succeeded && outcome.runMs > 0) {
         Dispatch::learnRun(fleet.estimates, profile, agent.speed,
--- a/Source/Core/Transient/Orphans.cpp
+++ b/Source/Core/Transient/Orphans.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 
 namespace Transient {
 
 namespace {
 
-/// Agents tell their jobs in order.
+/// Agents report jobs in sorted order.
 bool contains(const std::vector<std::string> &jobs, const std::string &id)
 {
     return std::binary_search(jobs.begin(), jobs.end(), id);
@@ -19,7 +19,8 @@
     return contains(agent.orphans.held, id) || contains(agent.orphans.unanswered, id);
 }
 
-/// Of a lost agent: leases lapse, while starts on their way may still arrive until it is forgotten.
+/// For a former agent: held jobs end when their leases have lapsed, while unanswered starts may
+/// take effect until the former agent is removed.
 bool isHeldBy(const FormerAgent &former, const std::string &id, Common::Moment now)
 {
     return contains(former.orphans.unanswered, id)
@@ -35,7 +36,7 @@
                        });
 }
 
-/// The longest time that each job is known to be held for.
+/// Collects for each job the longest time for which an agent may still have tasks of it.
 class RelayList
 {
 public:
@@ -76,15 +77,15 @@
         list.add(agent.orphans.held, agent.loadAtMs + state.times.settleMs);
         list.add(agent.orphans.unanswered, agent.loadAtMs + state.times.lateStartMs);
     }
-    for (const FormerAgent &former : state.fleet.formers) {
+    for (const FormerAgent &former : state.fleet.formerAgents) {
         list.add(former.orphans.held, former.settledAtMs);
         list.add(former.orphans.unanswered, former.lateStartsOverMs);
     }
     return list.list();
 }
 
-void orphansRelayed(GatewayState &state, const std::string &gateway,
-                    const std::vector<Schema::OrphanedJob> &orphans, Common::Moment now)
+void updateRelayedOrphans(GatewayState &state, const std::string &gateway,
+                          const std::vector<Schema::OrphanedJob> &orphans, Common::Moment now)
 {
     if (orphans.empty()) {
         state.relayedOrphans.erase(gateway);
@@ -103,7 +104,7 @@
     return isRelayed(state, id, now)
            || std::any_of(fleet.agents.begin(), fleet.agents.end(),
                           [&](const auto &entry) { return isHeldBy(entry.second, id); })
-           || std::any_of(fleet.formers.begin(), fleet.formers.end(),
+           || std::any_of(fleet.formerAgents.begin(), fleet.formerAgents.end(),
                           [&](const FormerAgent &former) { return isHeldBy(former, id, now); });
 }
 
