--- a/Source/Core/Dispatch/GatewayCore.cpp
+++ b/Source/Core/Dispatch/GatewayCore.cpp
@@ -100,7 +100,7 @@
     }
     state.lastSweepMs = now.steadyMs;
     countGateways(state, now);
-    forgetExpired(state.ledger, now);
+    removeExpiredJobs(state.ledger, now);
     Effects effects;
     const std::int64_t graceMs = GoneFactor * state.settings.agentSilenceMs;
     for (const std::string &agent : goneAgents(state.agents, now, graceMs)) {
@@ -237,7 +237,7 @@
     }
     agentWindow(state.scheduler, agent, frame.taskStates->window, frame.taskStates->running, now);
     Effects effects = tasksReported(state, agent, *frame.taskStates, now, random);
-    append(effects, questionAnswered(state, agent, *frame.taskStates, now, random));
+    append(effects, handleTaskStatesAnswer(state, agent, *frame.taskStates, now, random));
     return effects;
 }
 
@@ -258,13 +258,13 @@
         }
         return forwardAnswered(state, *frame.forwardAnswer, now);
     case FrameType::Handover:
-        return handoverHeard(state, *frame.handover, now);
+        return handleHandover(state, *frame.handover, now);
     case FrameType::HandoverAccepted:
         return handoverAccepted(state, *frame.handoverAccepted);
     case FrameType::AskAgents:
-        return agentsAskedFor(state, gateway, *frame.askAgents, now);
+        return handleAskAgents(state, gateway, *frame.askAgents, now);
     case FrameType::KnownAgents:
-        return knownAgentsHeard(state, *frame.knownAgents);
+        return handleKnownAgents(state, *frame.knownAgents);
     default:
         return {};
     }
--- a/Source/Core/Dispatch/Jobs/JobEnd.cpp
+++ b/Source/Core/Dispatch/Jobs/JobEnd.cpp
@@ -107,7 +107,7 @@
         JobEntry *job = findJob(state.ledger, expired.job);
         if (job != nullptr && !job->answer) {
             Schema::JobAnswer answer =
-                    givenUpAnswer(*job, expired.refusal.reason, expired.refusal.detail);
+                    abortedAnswer(*job, expired.refusal.reason, expired.refusal.detail);
             if (expired.refusal.retryAfterMs > 0) {
                 answer.retryAfterMs = expired.refusal.retryAfterMs;
             }
@@ -117,7 +117,7 @@
     for (const std::string &id : pastDeadline(state.ledger, now)) {
         JobEntry *job = findJob(state.ledger, id);
         if (job != nullptr && !job->answer) {
-            append(effects, finishJob(state, *job, givenUpAnswer(*job, Reason::DeadlinePassed)));
+            append(effects, finishJob(state, *job, abortedAnswer(*job, Reason::DeadlinePassed)));
         }
     }
     return effects;
--- a/Source/Core/Dispatch/Jobs/Submissions.cpp
+++ b/Source/Core/Dispatch/Jobs/Submissions.cpp
@@ -56,7 +56,7 @@
     }
     return finishJob(
             state, job,
-            givenUpAnswer(job, reason, "an earlier owner of this job may have started it"));
+            abortedAnswer(job, reason, "an earlier owner of this job may have started it"));
 }
 
 Effects acceptJob(GatewayState &state, const std::string &requestId,
@@ -130,12 +130,12 @@
     Common::handle([&] { return checkTimes(state.ledger, submit, now); },
                    [&](const Common::Failure &failure) { wrongTime = failure; });
     JobEntry *job = findJob(state.ledger, *submit.id);
-    const SubmitVerdict verdict = lookUp(state.ledger, submit);
-    const bool isNew = verdict == SubmitVerdict::New || verdict == SubmitVerdict::Refused;
+    const SubmissionStatus verdict = lookUpSubmission(state.ledger, submit);
+    const bool isNew = verdict == SubmissionStatus::New || verdict == SubmissionStatus::Refused;
     // A deadline that has passed does not take back the answer of a job that has ended.
     if (wrongTime && isNew) {
         const bool mayHaveRun =
-                wrongTime->reason == Reason::DeadlinePassed && verdict == SubmitVerdict::New
+                wrongTime->reason == Reason::DeadlinePassed && verdict == SubmissionStatus::New
                 && jobHistory(state.site, *submit.id, submit.firstSubmittedMs.value_or(0))
                            != JobHistory::NeverStarted;
         if (mayHaveRun) {
@@ -144,19 +144,19 @@
         return refuseRequest(state, requestId, wrongTime->reason, wrongTime->detail);
     }
     switch (verdict) {
-    case SubmitVerdict::New:
+    case SubmissionStatus::New:
         return submitUnseen(state, requestId, submit, now);
-    case SubmitVerdict::Refused:
+    case SubmissionStatus::Refused:
         removeJob(state.ledger, *submit.id);
         return acceptJob(state, requestId, submit, now);
-    case SubmitVerdict::Ended:
+    case SubmissionStatus::Ended:
         return answerRequest(state, requestId, *job->answer);
-    case SubmitVerdict::Conflict:
+    case SubmissionStatus::Conflict:
         return refuseRequest(state, requestId, Reason::IdConflict,
                              "this id was submitted before with other content");
-    case SubmitVerdict::Pending:
+    case SubmissionStatus::Pending:
         return waitForJob(state, requestId, *job);
-    case SubmitVerdict::Recovered:
+    case SubmissionStatus::Recovered:
         break;
     }
     return resumeJob(state, requestId, *job, submit, now);
@@ -184,7 +184,7 @@
     JobEntry *job = findJob(state.ledger, findRequest(state.requests, requestId)->job);
     if (job != nullptr && !job->answer) {
         job->waiters.push_back(requestId);
-        return finishJob(state, *job, givenUpAnswer(*job, Reason::Cancelled));
+        return finishJob(state, *job, abortedAnswer(*job, Reason::Cancelled));
     }
     return ownerGet(state, requestId);
 }
--- a/Source/Core/Dispatch/Jobs/TaskReports.cpp
+++ b/Source/Core/Dispatch/Jobs/TaskReports.cpp
@@ -37,7 +37,7 @@
     Effects effects{CountReason{RetriedCounter, reason}};
     if (decision == RetryDecision::GivenUp && !job.answer) {
         append(effects, finishJob(state, job,
-                                  givenUpAnswer(job, reason, "no backend server took the task")));
+                                  abortedAnswer(job, reason, "no backend server took the task")));
     }
     return effects;
 }
@@ -73,7 +73,7 @@
         return addRecoveredJob(state.ledger, report.job, intent->tasks, intent->firstSubmittedMs);
     }
     JobEntry &job = addRecoveredJob(state.ledger, report.job, 1, now.wallMs);
-    endJob(state.ledger, job, givenUpAnswer(job, Reason::PredecessorUnlogged));
+    endJob(state.ledger, job, abortedAnswer(job, Reason::PredecessorUnlogged));
     job.answer->outcome = Schema::JobOutcome::Unknown;
     return job;
 }
--- a/Source/Core/Dispatch/Ownership/ControlAppend.cpp
+++ b/Source/Core/Dispatch/Ownership/ControlAppend.cpp
@@ -11,15 +11,15 @@
 namespace {
 
 /// A durable record not read back for this long fell into a gap.
-constexpr std::int64_t ReadBackMs = 10000;
+constexpr std::int64_t ReadBackTimeoutMs = 10000;
 /// A silent member's seat is left for a replacement for this many times the silence.
-constexpr std::int64_t SeatKeptSilences = 10;
+constexpr std::int64_t MemberRemovalSilences = 10;
 /// Where the preferred claimant does not claim, any other does after this many silences.
-constexpr std::int64_t OrphanSilences = 3;
+constexpr std::int64_t OrphanClaimSilences = 3;
 /// A roster this large may lose a silent member's seat.
-constexpr std::size_t RosterToShrink = 4;
+constexpr std::size_t MinRosterForRemoval = 4;
 
-using Wanted = std::optional<Schema::LogRecord>;
+using OptionalRecord = std::optional<Schema::LogRecord>;
 
 Schema::LogRecord rosterRecord(const OwnershipState &state, Schema::RecordKind kind)
 {
@@ -36,21 +36,21 @@
 }
 
 /// Whether enough members told us what they know that no declaration can have been missed.
-bool informed(const OwnershipState &state)
+bool enoughPeersReported(const OwnershipState &state)
 {
-    return blocksMajorities(rosterInstances(state.table), [&](const std::string &instance) {
+    return intersectsEveryMajority(rosterInstances(state.table), [&](const std::string &instance) {
         const auto peer = state.peers.find(instance);
-        return peer != state.peers.end() && peer->second.heard;
+        return peer != state.peers.end() && peer->second.pingReceived;
     });
 }
 
 /// The process that held our address is gone, and what it had acknowledged with it. Where too few
 /// others are left to ask, it is taken to have been unlogged ever since: ids of before that the
 /// journal doesn't know are answered unknown, which is true, and not started.
-Wanted wantSeatAtOurAddress(OwnershipState &state, const Schema::Member &replaced,
-                            Common::Moment now)
+OptionalRecord replacementJoinRecord(OwnershipState &state, const Schema::Member &replaced,
+                                     Common::Moment now)
 {
-    if (!informed(state)) {
+    if (!enoughPeersReported(state)) {
         if (now.steadyMs - state.startedMs < state.settings.peerSilenceMs) {
             return std::nullopt;
         }
@@ -64,10 +64,10 @@
     return record;
 }
 
-Wanted wantJoin(OwnershipState &state, Common::Moment now)
+OptionalRecord joinRecord(OwnershipState &state, Common::Moment now)
 {
     if (const Schema::Member *replaced = memberAtAddress(state.table, state.self)) {
-        return wantSeatAtOurAddress(state, *replaced, now);
+        return replacementJoinRecord(state, *replaced, now);
     }
     if (!rosterMayChange(state)) {
         return std::nullopt;
@@ -86,17 +86,17 @@
     return record;
 }
 
-bool ownsNothing(const OwnershipState &state)
+bool ownsNoShards(const OwnershipState &state)
 {
     return std::all_of(state.roles.begin(), state.roles.end(),
                        [](const ShardRole &role) { return role.phase == ShardPhase::NotOurs; });
 }
 
 /// While another member is silent, this one's acknowledgements are needed to replace it.
-Wanted wantLeave(const OwnershipState &state, Common::Moment now)
+OptionalRecord leaveRecord(const OwnershipState &state, Common::Moment now)
 {
     const bool allLive = liveMembers(state, now).size() == state.table.roster.size();
-    const bool done = ownsNothing(state) || state.nothingLeftToDo;
+    const bool done = ownsNoShards(state) || state.workFinished;
     if (!rosterMayChange(state) || !allLive || !done) {
         return std::nullopt;
     }
@@ -105,16 +105,16 @@
     return record;
 }
 
-Wanted wantRemoval(const OwnershipState &state, Common::Moment now)
+OptionalRecord removalRecord(const OwnershipState &state, Common::Moment now)
 {
-    if (state.table.roster.size() < RosterToShrink || !rosterMayChange(state)
+    if (state.table.roster.size() < MinRosterForRemoval || !rosterMayChange(state)
         || !isFirstLive(state, now)) {
         return std::nullopt;
     }
     for (const auto &[instance, peer] : state.peers) {
-        const std::int64_t seen = std::max(peer.lastHeardMs, peer.firstWatchedMs);
+        const std::int64_t seen = std::max(peer.lastReceivedMs, peer.firstTrackedMs);
         if (onRoster(state.table, instance)
-            && now.steadyMs - seen >= SeatKeptSilences * state.settings.peerSilenceMs) {
+            && now.steadyMs - seen >= MemberRemovalSilences * state.settings.peerSilenceMs) {
             Schema::LogRecord record = rosterRecord(state, Schema::RecordKind::Leave);
             record.replaces = instance;
             return record;
@@ -129,7 +129,8 @@
     if (claim.owner == state.self.instance) {
         const ShardRole &role = state.roles[static_cast<std::size_t>(shard)];
         return role.phase == ShardPhase::AwaitingHandover
-               && now.steadyMs - role.phaseSinceMs >= OrphanSilences * state.settings.peerSilenceMs;
+               && now.steadyMs - role.phaseSinceMs
+                          >= OrphanClaimSilences * state.settings.peerSilenceMs;
     }
     return !onRoster(state.table, claim.owner) || peerLost(state, claim.owner, now);
 }
@@ -157,21 +158,21 @@
     return shards;
 }
 
-bool epochOwnerIsUs(const OwnershipState &state, std::int64_t shard)
+bool isOwnedByUs(const OwnershipState &state, std::int64_t shard)
 {
     return state.table.shards[static_cast<std::size_t>(shard)].owner == state.self.instance;
 }
 
 /// All gateways spread the orphans over the same live members in the same way, so that each claims
 /// its part; where their views differ, the log decides.
-Wanted wantClaim(OwnershipState &state, Common::Moment now)
+OptionalRecord claimRecord(OwnershipState &state, Common::Moment now)
 {
     const std::vector<std::int64_t> orphans = orphanedShards(state, now);
-    const std::vector<std::string> claimants = takers(state, now);
+    const std::vector<std::string> claimants = eligibleOwners(state, now);
     std::map<std::string, std::int64_t> owned = ownedShards(state, claimants);
     std::vector<Schema::ShardOwner> ours;
     for (const std::int64_t shard : orphans) {
-        if (epochOwnerIsUs(state, shard)) {
+        if (isOwnedByUs(state, shard)) {
             ours.push_back(shardOwner(state, shard));
             continue;
         }
@@ -183,7 +184,8 @@
                 [](const auto &left, const auto &right) { return left.second < right.second; });
         ++least->second;
         const std::int64_t since = state.orphanSinceMs[static_cast<std::size_t>(shard)];
-        const bool overdue = now.steadyMs - since >= OrphanSilences * state.settings.peerSilenceMs;
+        const bool overdue =
+                now.steadyMs - since >= OrphanClaimSilences * state.settings.peerSilenceMs;
         if (least->first == state.self.instance || overdue) {
             ours.push_back(shardOwner(state, shard));
         }
@@ -197,7 +199,7 @@
     return record;
 }
 
-Wanted wantHandedOver(const OwnershipState &state)
+OptionalRecord handedOverRecord(const OwnershipState &state)
 {
     std::vector<Schema::ShardOwner> shards;
     for (const std::int64_t shard : shardsIn(state, ShardPhase::Serving)) {
@@ -216,7 +218,7 @@
     return record;
 }
 
-Wanted wantSettled(const OwnershipState &state, Common::Moment now)
+OptionalRecord settledRecord(const OwnershipState &state, Common::Moment now)
 {
     if (!state.rosterSettled || state.table.previousRoster.empty() || !isFirstLive(state, now)) {
         return std::nullopt;
@@ -228,10 +230,10 @@
 }
 
 /// Retention drops the first claims some day; a fresh gateway then starts from this.
-Wanted wantSnapshot(const OwnershipState &state, Common::Moment now)
+OptionalRecord snapshotRecord(const OwnershipState &state, Common::Moment now)
 {
-    const bool due = state.neededSinceWallMs != 0
-                     && now.wallMs - state.neededSinceWallMs >= state.settings.dedupWindowMs / 2;
+    const bool due = state.oldestNeededWallMs != 0
+                     && now.wallMs - state.oldestNeededWallMs >= state.settings.dedupWindowMs / 2;
     if (!due || !isFirstLive(state, now)) {
         return std::nullopt;
     }
@@ -241,28 +243,28 @@
     return record;
 }
 
-Wanted wantedRecord(OwnershipState &state, Common::Moment now)
+OptionalRecord nextControlRecord(OwnershipState &state, Common::Moment now)
 {
     if (!state.readToEnd || state.gap) {
         return std::nullopt;
     }
     if (!onRoster(state.table, state.self.instance)) {
-        return state.leaving ? std::nullopt : wantJoin(state, now);
+        return state.leaving ? std::nullopt : joinRecord(state, now);
     }
-    Wanted wanted = wantHandedOver(state);
-    if (!wanted) {
-        wanted = wantClaim(state, now);
+    OptionalRecord next = handedOverRecord(state);
+    if (!next) {
+        next = claimRecord(state, now);
     }
-    if (!wanted && state.leaving) {
-        wanted = wantLeave(state, now);
+    if (!next && state.leaving) {
+        next = leaveRecord(state, now);
     }
-    if (!wanted) {
-        wanted = wantRemoval(state, now);
+    if (!next) {
+        next = removalRecord(state, now);
     }
-    if (!wanted) {
-        wanted = wantSettled(state, now);
+    if (!next) {
+        next = settledRecord(state, now);
     }
-    return wanted ? wanted : wantSnapshot(state, now);
+    return next ? next : snapshotRecord(state, now);
 }
 
 bool sameShards(const Schema::LogRecord &left, const Schema::LogRecord &right)
@@ -278,17 +280,17 @@
 
 /// A record with the same content keeps its id when it is sent again, so that readers who have it
 /// drop the repetition.
-bool repeats(const Schema::LogRecord &sent, const Schema::LogRecord &wanted)
+bool isRepetition(const Schema::LogRecord &sent, const Schema::LogRecord &next)
 {
-    return sent.kind == wanted.kind && sent.kind != Schema::RecordKind::ControlSnapshot
-           && sent.replaces == wanted.replaces && sent.basedOn == wanted.basedOn
-           && sameShards(sent, wanted);
+    return sent.kind == next.kind && sent.kind != Schema::RecordKind::ControlSnapshot
+           && sent.replaces == next.replaces && sent.basedOn == next.basedOn
+           && sameShards(sent, next);
 }
 
 Effects sendRecord(OwnershipState &state, Schema::LogRecord record, std::uint64_t &nextBatch,
                    Common::Moment now, Common::Random &random)
 {
-    if (state.append && repeats(state.append->record, record)) {
+    if (state.append && isRepetition(state.append->record, record)) {
         record = state.append->record;
     } else {
         record.id = Common::randomId(random);
@@ -310,7 +312,7 @@
     }
     const std::int64_t age = now.steadyMs - state.append->sinceMs;
     if (state.append->durable) {
-        return age < ReadBackMs;
+        return age < ReadBackTimeoutMs;
     }
     return state.append->inFlight || age < state.settings.appendRetryMs;
 }
@@ -323,16 +325,16 @@
     if (appendUnderWay(state, now)) {
         return {};
     }
-    Wanted wanted = wantedRecord(state, now);
-    if (!wanted) {
+    OptionalRecord next = nextControlRecord(state, now);
+    if (!next) {
         state.append.reset();
         return {};
     }
-    return sendRecord(state, std::move(*wanted), nextBatch, now, random);
+    return sendRecord(state, std::move(*next), nextBatch, now, random);
 }
 
-Effects controlAppendDone(OwnershipState &state, std::uint64_t batch, AppendStatus status,
-                          Common::Moment now)
+Effects handleControlAppendResult(OwnershipState &state, std::uint64_t batch, AppendStatus status,
+                                  Common::Moment now)
 {
     if (!state.append || state.append->batch != batch) {
         return {};
--- a/Source/Core/Dispatch/Ownership/ControlTable.cpp
+++ b/Source/Core/Dispatch/Ownership/ControlTable.cpp
@@ -60,9 +60,9 @@
 void replaceIn(std::vector<Schema::Member> &members, const std::string &replaced,
                const Schema::Member &member)
 {
-    for (Schema::Member &seat : members) {
-        if (seat.instance == replaced) {
-            seat = member;
+    for (Schema::Member &rosterEntry : members) {
+        if (rosterEntry.instance == replaced) {
+            rosterEntry = member;
         }
     }
 }
@@ -70,11 +70,12 @@
 /// A gateway that listens at the address of a member proves that the member's process is gone: it
 /// takes the seat as it is, and the number of seats and their majorities stay the same. That holds
 /// as well for a seat of the roster before, whose acknowledgement may still be needed.
-bool takeSeat(ControlTable &table, const std::string &replaced, const Schema::Member &member)
+bool replaceMemberAtSameAddress(ControlTable &table, const std::string &replaced,
+                                const Schema::Member &member)
 {
-    const Schema::Member *seat = findMember(table, replaced);
-    seat = seat == nullptr ? findIn(table.previousRoster, replaced) : seat;
-    if (seat == nullptr || !sameAddress(*seat, member)) {
+    const Schema::Member *rosterEntry = findMember(table, replaced);
+    rosterEntry = rosterEntry == nullptr ? findIn(table.previousRoster, replaced) : rosterEntry;
+    if (rosterEntry == nullptr || !sameAddress(*rosterEntry, member)) {
         return false;
     }
     replaceIn(table.previousRoster, replaced, member);
@@ -96,7 +97,7 @@
         table.roster.push_back(*record.member);
         return true;
     }
-    if (takeSeat(table, *record.replaces, *record.member)) {
+    if (replaceMemberAtSameAddress(table, *record.replaces, *record.member)) {
         return true;
     }
     if (findMember(table, *record.replaces) == nullptr
@@ -290,9 +291,9 @@
 const Schema::Member *memberAtAddress(const ControlTable &table, const Schema::Member &member)
 {
     for (const std::vector<Schema::Member> *members : {&table.roster, &table.previousRoster}) {
-        for (const Schema::Member &seat : *members) {
-            if (sameAddress(seat, member) && seat.instance != member.instance) {
-                return &seat;
+        for (const Schema::Member &rosterEntry : *members) {
+            if (sameAddress(rosterEntry, member) && rosterEntry.instance != member.instance) {
+                return &rosterEntry;
             }
         }
     }
--- a/Source/Core/Dispatch/Ownership/Handover.cpp
+++ b/Source/Core/Dispatch/Ownership/Handover.cpp
@@ -18,9 +18,10 @@
 }
 
 /// Gives the first of \a shards to \a receivers in turn, each up to \a target.
-std::vector<WantedHandover> spread(std::vector<std::int64_t> shards,
-                                   const std::map<std::string, std::int64_t> &owned,
-                                   const std::vector<std::string> &receivers, std::int64_t target)
+std::vector<WantedHandover> distributeShards(std::vector<std::int64_t> shards,
+                                             const std::map<std::string, std::int64_t> &owned,
+                                             const std::vector<std::string> &receivers,
+                                             std::int64_t target)
 {
     std::vector<WantedHandover> wanted;
     auto next = shards.begin();
@@ -47,7 +48,7 @@
             });
 }
 
-bool takeShard(OwnershipState &state, const Schema::ShardOwner &given, Common::Moment now)
+bool takeOverShard(OwnershipState &state, const Schema::ShardOwner &given, Common::Moment now)
 {
     ShardClaim &claim = state.table.shards[static_cast<std::size_t>(given.shard)];
     ShardRole &role = roleOf(state, given.shard);
@@ -85,12 +86,12 @@
 
 std::vector<WantedHandover> wantedHandovers(const OwnershipState &state, Common::Moment now)
 {
-    std::vector<std::string> receivers = takers(state, now);
+    std::vector<std::string> receivers = eligibleOwners(state, now);
     const auto members = static_cast<std::int64_t>(receivers.size());
     receivers.erase(std::remove_if(receivers.begin(), receivers.end(),
                                    [&](const std::string &instance) {
                                        return instance == state.self.instance
-                                              || !readsJournal(state, instance);
+                                              || !hasCaughtUpWithJournal(state, instance);
                                    }),
                     receivers.end());
     std::vector<std::int64_t> shards = shardsIn(state, ShardPhase::Serving);
@@ -101,19 +102,19 @@
     const std::int64_t total = state.settings.shardCount;
     const std::int64_t fairShare = (total + members - 1) / members;
     if (state.leaving) {
-        return spread(std::move(shards), owned, receivers, fairShare);
+        return distributeShards(std::move(shards), owned, receivers, fairShare);
     }
     const auto surplus = static_cast<std::int64_t>(shards.size()) - fairShare;
     if (surplus <= 0) {
         return {};
     }
     shards.resize(static_cast<std::size_t>(surplus));
-    return spread(std::move(shards), owned, receivers, total / members);
+    return distributeShards(std::move(shards), owned, receivers, total / members);
 }
 
-Schema::Handover handoverOut(OwnershipState &state, const std::vector<std::int64_t> &shards,
-                             const std::string &successor, Common::Moment now,
-                             Common::Random &random)
+Schema::Handover beginHandover(OwnershipState &state, const std::vector<std::int64_t> &shards,
+                               const std::string &successor, Common::Moment now,
+                               Common::Random &random)
 {
     Schema::Handover handover;
     handover.requestId = Common::randomId(random);
@@ -137,7 +138,7 @@
     return handover;
 }
 
-bool handoverStands(const OwnershipState &state, const Schema::Handover &handover)
+bool isHandoverPending(const OwnershipState &state, const Schema::Handover &handover)
 {
     return std::any_of(handover.shards.begin(), handover.shards.end(),
                        [&](const Schema::ShardOwner &given) {
@@ -146,7 +147,7 @@
                        });
 }
 
-void handoverDone(OwnershipState &state, const Schema::Handover &handover)
+void completeHandover(OwnershipState &state, const Schema::Handover &handover)
 {
     for (const Schema::ShardOwner &given : handover.shards) {
         ShardRole &role = roleOf(state, given.shard);
@@ -156,10 +157,10 @@
     }
 }
 
-HandoverTaken handoverIn(OwnershipState &state, const Schema::Handover &handover,
-                         Common::Moment now)
+HandoverResult acceptHandover(OwnershipState &state, const Schema::Handover &handover,
+                              Common::Moment now)
 {
-    HandoverTaken taken;
+    HandoverResult taken;
     // Ahead of us: the sender repeats it until our table and our journal have caught up. An intent
     // that we lack would let a job of its start again.
     if (!onRoster(state.table, state.self.instance) || handoverAhead(state, handover)
@@ -168,7 +169,7 @@
     }
     taken.accepted = true;
     for (const Schema::ShardOwner &given : handover.shards) {
-        if (knownShard(state, given.shard) && takeShard(state, given, now)) {
+        if (knownShard(state, given.shard) && takeOverShard(state, given, now)) {
             taken.shards.push_back(given.shard);
         }
     }
--- a/Source/Core/Dispatch/Ownership/Heartbeats.cpp
+++ b/Source/Core/Dispatch/Ownership/Heartbeats.cpp
@@ -10,9 +10,9 @@
 
 /// While a direct handover is not in the log yet, two tables of one version can differ: the whole
 /// table goes out every few heartbeats then.
-constexpr std::int64_t TableEveryHeartbeats = 8;
+constexpr std::int64_t TableIntervalHeartbeats = 8;
 /// Four seconds of heartbeats: an older answer confirms nothing.
-constexpr std::size_t RememberedPings = 8;
+constexpr std::size_t MaxTrackedPings = 8;
 
 bool hasUnrecordedHandover(const OwnershipState &state)
 {
@@ -45,7 +45,7 @@
     ping.sequence = ++state.sequence;
     ping.heardSequence = peer.sequence;
     peer.sent.push_back({ping.sequence, now.steadyMs});
-    if (peer.sent.size() > RememberedPings) {
+    if (peer.sent.size() > MaxTrackedPings) {
         peer.sent.pop_front();
     }
     ping.reply = reply;
@@ -56,22 +56,23 @@
     ping.configVersion = state.configVersion;
     ping.unloggedSinceMs = state.unloggedSinceMs;
     ping.acknowledgedUnlogged = noticeList(state);
-    const bool repeat = ping.sequence % TableEveryHeartbeats == 0 && hasUnrecordedHandover(state);
+    const bool repeat =
+            ping.sequence % TableIntervalHeartbeats == 0 && hasUnrecordedHandover(state);
     if (peer.reportedVersion < ping.tableVersion || repeat) {
         ping.table = exportTable(state.table);
     }
-    peer.toldVersion = ping.tableVersion;
-    peer.toldRevision = state.noticeRevision;
+    peer.sentVersion = ping.tableVersion;
+    peer.sentNoticeRevision = state.noticeRevision;
     peer.lastPingMs = now.steadyMs;
     Schema::Frame frame = frameOf(Schema::FrameType::PeerPing);
     frame.peerPing = std::move(ping);
     return SendToGateway{instance, std::move(frame)};
 }
 
-bool toldAll(const OwnershipState &state, const PeerView &peer)
+bool sentLatestState(const OwnershipState &state, const PeerView &peer)
 {
-    return peer.toldVersion == tableVersion(state.table)
-           && peer.toldRevision == state.noticeRevision;
+    return peer.sentVersion == tableVersion(state.table)
+           && peer.sentNoticeRevision == state.noticeRevision;
 }
 
 void setNotice(OwnershipState &state, const std::string &instance, std::int64_t sinceMs)
@@ -85,7 +86,7 @@
 
 /// Hearsay only adds: a declaration is withdrawn by its declarer alone, for only the declarer knows
 /// that all it started is in the log.
-void takeHearsay(OwnershipState &state, const Schema::UnloggedNotice &notice)
+void mergeRelayedNotice(OwnershipState &state, const Schema::UnloggedNotice &notice)
 {
     if (notice.instance == state.self.instance) {
         return;
@@ -97,7 +98,7 @@
 }
 
 /// The time that counts is that of our heartbeat, not that at which its answer is read.
-void takeAnswer(PeerView &peer, std::int64_t heardSequence)
+void recordAnswer(PeerView &peer, std::int64_t heardSequence)
 {
     while (!peer.sent.empty() && peer.sent.front().sequence <= heardSequence) {
         peer.answeredMs = peer.sent.front().sentMs;
@@ -105,12 +106,12 @@
     }
 }
 
-void takeNotices(OwnershipState &state, PeerView &peer, const Schema::PeerPing &ping)
+void updateNotices(OwnershipState &state, PeerView &peer, const Schema::PeerPing &ping)
 {
     peer.notices.clear();
     for (const Schema::UnloggedNotice &notice : ping.acknowledgedUnlogged) {
         peer.notices[notice.instance] = notice.sinceMs;
-        takeHearsay(state, notice);
+        mergeRelayedNotice(state, notice);
     }
     if (ping.unloggedSinceMs != 0) {
         peer.notices[ping.instance] = ping.unloggedSinceMs;
@@ -122,7 +123,8 @@
 
 /// An acknowledgement by someone who knows more than we do doesn't count until we know it too: it
 /// may be that our claim or our ownership is superseded, and the roster another.
-void takeAcknowledgements(const OwnershipState &state, PeerView &peer, const Schema::PeerPing &ping)
+void updateAcknowledgements(const OwnershipState &state, PeerView &peer,
+                            const Schema::PeerPing &ping)
 {
     peer.reportedVersion = ping.tableVersion;
     if (ping.tableVersion > tableVersion(state.table)) {
@@ -133,12 +135,12 @@
     peer.acknowledgedUnloggedMs = ours == peer.notices.end() ? 0 : ours->second;
 }
 
-void watchRoster(OwnershipState &state, Common::Moment now)
+void trackRosterMembers(OwnershipState &state, Common::Moment now)
 {
     for (const Schema::Member &member : state.table.roster) {
         if (member.instance != state.self.instance && state.peers.count(member.instance) == 0) {
             PeerView &peer = state.peers[member.instance];
-            peer.firstWatchedMs = now.steadyMs;
+            peer.firstTrackedMs = now.steadyMs;
             peer.lastPingMs = now.steadyMs - state.settings.heartbeatMs;
         }
     }
@@ -150,15 +152,16 @@
         return;
     }
     state.journalSampledMs = now.steadyMs;
-    state.journalOffsetDue = state.journalOffsetNext;
-    state.journalOffsetNext = state.journalOffset;
+    state.requiredJournalOffset = state.nextRequiredJournalOffset;
+    state.nextRequiredJournalOffset = state.journalOffset;
 }
 
-void forgetStrangers(OwnershipState &state, Common::Moment now)
+void removeUnneededPeers(OwnershipState &state, Common::Moment now)
 {
     const std::vector<std::string> previous = previousInstances(state.table);
     for (auto peer = state.peers.begin(); peer != state.peers.end();) {
-        const std::int64_t seen = std::max(peer->second.lastHeardMs, peer->second.firstWatchedMs);
+        const std::int64_t seen =
+                std::max(peer->second.lastReceivedMs, peer->second.firstTrackedMs);
         const bool needed = onRoster(state.table, peer->first)
                             || std::count(previous.begin(), previous.end(), peer->first) != 0;
         const bool gone = !needed && now.steadyMs - seen >= state.settings.peerSilenceMs;
@@ -170,33 +173,33 @@
 
 Effects sendHeartbeats(OwnershipState &state, Common::Moment now)
 {
-    watchRoster(state, now);
+    trackRosterMembers(state, now);
     sampleJournalOffset(state, now);
-    forgetStrangers(state, now);
+    removeUnneededPeers(state, now);
     Effects effects;
     for (auto &[instance, peer] : state.peers) {
         const bool due = now.steadyMs - peer.lastPingMs >= state.settings.heartbeatMs;
-        if (due || (peer.heard && !toldAll(state, peer))) {
+        if (due || (peer.pingReceived && !sentLatestState(state, peer))) {
             effects.push_back(makePing(state, instance, peer, false, now));
         }
     }
     return effects;
 }
 
-Effects peerHeard(OwnershipState &state, const Schema::PeerPing &ping, Common::Moment now)
+Effects handlePeerPing(OwnershipState &state, const Schema::PeerPing &ping, Common::Moment now)
 {
     if (ping.instance == state.self.instance) {
         return {};
     }
     PeerView &peer = state.peers[ping.instance];
-    if (peer.heard && ping.sequence <= peer.sequence) {
+    if (peer.pingReceived && ping.sequence <= peer.sequence) {
         return {};
     }
-    if (!peer.heard && peer.firstWatchedMs == 0) {
-        peer.firstWatchedMs = now.steadyMs;
+    if (!peer.pingReceived && peer.firstTrackedMs == 0) {
+        peer.firstTrackedMs = now.steadyMs;
     }
-    peer.heard = true;
-    peer.lastHeardMs = now.steadyMs;
+    peer.pingReceived = true;
+    peer.lastReceivedMs = now.steadyMs;
     peer.sequence = ping.sequence;
     peer.leaving = ping.leaving;
     peer.live = ping.live;
@@ -206,13 +209,13 @@
         closeGapFromPeers(state, now);
         reconcileRoles(state, now);
     }
-    takeAnswer(peer, ping.heardSequence);
-    takeNotices(state, peer, ping);
-    takeAcknowledgements(state, peer, ping);
+    recordAnswer(peer, ping.heardSequence);
+    updateNotices(state, peer, ping);
+    updateAcknowledgements(state, peer, ping);
     settleRoster(state, now);
     Effects effects = advanceFences(state, now);
     const bool behind = ping.tableVersion != tableVersion(state.table);
-    if (!ping.reply && (behind || !toldAll(state, peer))) {
+    if (!ping.reply && (behind || !sentLatestState(state, peer))) {
         effects.push_back(makePing(state, ping.instance, peer, true, now));
     }
     return effects;
@@ -227,7 +230,7 @@
     if (peer == state.peers.end()) {
         return false;
     }
-    const std::int64_t seen = std::max(peer->second.lastHeardMs, peer->second.firstWatchedMs);
+    const std::int64_t seen = std::max(peer->second.lastReceivedMs, peer->second.firstTrackedMs);
     return now.steadyMs - seen >= state.settings.peerSilenceMs;
 }
 
@@ -249,10 +252,10 @@
     });
 }
 
-bool readsJournal(const OwnershipState &state, const std::string &instance)
+bool hasCaughtUpWithJournal(const OwnershipState &state, const std::string &instance)
 {
     const auto peer = state.peers.find(instance);
-    return peer != state.peers.end() && peer->second.journalOffset >= state.journalOffsetDue;
+    return peer != state.peers.end() && peer->second.journalOffset >= state.requiredJournalOffset;
 }
 
 bool peerLive(const OwnershipState &state, const std::string &instance, Common::Moment now)
@@ -261,7 +264,8 @@
         return true;
     }
     const auto peer = state.peers.find(instance);
-    return peer != state.peers.end() && peer->second.heard && !peerSilent(state, instance, now);
+    return peer != state.peers.end() && peer->second.pingReceived
+           && !peerSilent(state, instance, now);
 }
 
 std::vector<std::string> liveMembers(const OwnershipState &state, Common::Moment now)
@@ -276,17 +280,17 @@
     return live;
 }
 
-std::vector<std::string> takers(const OwnershipState &state, Common::Moment now)
+std::vector<std::string> eligibleOwners(const OwnershipState &state, Common::Moment now)
 {
-    std::vector<std::string> taking = liveMembers(state, now);
-    taking.erase(std::remove_if(taking.begin(), taking.end(),
-                                [&](const std::string &instance) {
-                                    const auto peer = state.peers.find(instance);
-                                    return peer == state.peers.end() ? state.leaving
-                                                                     : peer->second.leaving;
-                                }),
-                 taking.end());
-    return taking;
+    std::vector<std::string> eligible = liveMembers(state, now);
+    eligible.erase(std::remove_if(eligible.begin(), eligible.end(),
+                                  [&](const std::string &instance) {
+                                      const auto peer = state.peers.find(instance);
+                                      return peer == state.peers.end() ? state.leaving
+                                                                       : peer->second.leaving;
+                                  }),
+                   eligible.end());
+    return eligible;
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Ownership/Ownership.cpp
+++ b/Source/Core/Dispatch/Ownership/Ownership.cpp
@@ -47,7 +47,7 @@
 /// A snapshot bridges a gap only where all that it doesn't reflect is still read after it.
 void readSnapshot(OwnershipState &state, const Schema::LogEntry &entry)
 {
-    state.neededSinceWallMs = entry.record.wallMs;
+    state.oldestNeededWallMs = entry.record.wallMs;
     if (!state.gap || !entry.record.table) {
         return;
     }
@@ -81,18 +81,18 @@
     if (entry.record.kind == Schema::RecordKind::ControlSnapshot) {
         readSnapshot(state, entry);
     }
-    if (state.neededSinceWallMs == 0) {
-        state.neededSinceWallMs = entry.record.wallMs;
+    if (state.oldestNeededWallMs == 0) {
+        state.oldestNeededWallMs = entry.record.wallMs;
     }
     const auto writer = state.peers.find(entry.record.instance);
     if (writer != state.peers.end() && state.readToEnd) {
         writer->second.lastRecordMs = now.steadyMs;
     }
     if (state.gap) {
-        state.sinceGap.push_back(entry);
+        state.entriesAfterGap.push_back(entry);
         return;
     }
-    for (const Schema::LogEntry &held : std::exchange(state.sinceGap, {})) {
+    for (const Schema::LogEntry &held : std::exchange(state.entriesAfterGap, {})) {
         if (held.offset >= state.fromLog.offset) {
             applyRecord(state, held, now);
         }
@@ -102,14 +102,14 @@
     }
 }
 
-void noticeGap(OwnershipState &state, const LogRead &read, Common::Moment now)
+void detectGap(OwnershipState &state, const LogRead &read, Common::Moment now)
 {
     if (read.oldestOffset <= state.readOffset) {
         return;
     }
     state.gapEnd = read.oldestOffset;
     state.gapSinceMs = now.steadyMs;
-    state.sinceGap.clear();
+    state.entriesAfterGap.clear();
     state.gap = state.table.offset < read.oldestOffset;
     if (!state.gap) {
         // A peer's table reflects all that was dropped.
@@ -118,7 +118,7 @@
 }
 
 /// As with the configuration: live gateways would have put a snapshot into the log by now.
-Effects startAfresh(OwnershipState &state, Common::Moment now)
+Effects resumeAfterLoss(OwnershipState &state, Common::Moment now)
 {
     if (!state.gap || !state.readToEnd || state.table.offset != 0
         || now.steadyMs - state.gapSinceMs < state.settings.lostAfterMs) {
@@ -127,7 +127,7 @@
     state.gap = false;
     state.fromLog.offset = state.gapEnd;
     state.fromLog.rosterOffset = state.gapEnd;
-    for (const Schema::LogEntry &held : std::exchange(state.sinceGap, {})) {
+    for (const Schema::LogEntry &held : std::exchange(state.entriesAfterGap, {})) {
         applyRecord(state, held, now);
     }
     mergeTable(state.table, state.fromLog);
@@ -181,7 +181,7 @@
     }
     state.gap = false;
     state.fromLog = state.table;
-    for (const Schema::LogEntry &held : std::exchange(state.sinceGap, {})) {
+    for (const Schema::LogEntry &held : std::exchange(state.entriesAfterGap, {})) {
         if (held.offset >= state.fromLog.offset) {
             applyRecord(state, held, now);
         }
@@ -200,9 +200,9 @@
     }
 }
 
-Effects controlRead(OwnershipState &state, const LogRead &read, Common::Moment now)
+Effects handleControlRead(OwnershipState &state, const LogRead &read, Common::Moment now)
 {
-    noticeGap(state, read, now);
+    detectGap(state, read, now);
     for (const Schema::LogEntry &entry : read.entries) {
         if (entry.offset >= state.readOffset) {
             readEntry(state, entry, now);
@@ -221,12 +221,12 @@
 Effects ownershipTick(OwnershipState &state, std::uint64_t &nextBatch, Common::Moment now,
                       Common::Random &random)
 {
-    Effects effects = startAfresh(state, now);
+    Effects effects = resumeAfterLoss(state, now);
     settleRoster(state, now);
     append(effects, advanceFences(state, now));
     append(effects, advanceControlAppend(state, nextBatch, now, random));
     append(effects, sendHeartbeats(state, now));
-    retireNotices(state, now);
+    expireNotices(state, now);
     return effects;
 }
 
@@ -288,7 +288,7 @@
         return false;
     }
     return isMajorityWith(state, [&](const PeerView &peer) {
-        return peer.heard && now.steadyMs - peer.lastHeardMs < state.settings.leaseMs;
+        return peer.pingReceived && now.steadyMs - peer.lastReceivedMs < state.settings.leaseMs;
     });
 }
 
@@ -303,7 +303,7 @@
     return shards;
 }
 
-void shardServing(OwnershipState &state, std::int64_t shard, Common::Moment now)
+void markShardServing(OwnershipState &state, std::int64_t shard, Common::Moment now)
 {
     ShardRole &role = state.roles.at(indexOf(shard));
     if (role.phase != ShardPhase::NeedsReports) {
@@ -313,8 +313,8 @@
     role.phaseSinceMs = now.steadyMs;
 }
 
-bool predecessorUnlogged(const OwnershipState &state, std::int64_t shard,
-                         std::int64_t firstSubmittedMs)
+bool mayHaveStartedUnlogged(const OwnershipState &state, std::int64_t shard,
+                            std::int64_t firstSubmittedMs)
 {
     const std::vector<Schema::UnloggedWindow> &windows = state.roles.at(indexOf(shard)).windows;
     return std::any_of(windows.begin(), windows.end(), [&](const Schema::UnloggedWindow &window) {
@@ -346,7 +346,7 @@
 void finishLeaving(OwnershipState &state)
 {
     state.leaving = true;
-    state.nothingLeftToDo = true;
+    state.workFinished = true;
 }
 
 bool hasLeft(const OwnershipState &state)
--- a/Source/Core/Dispatch/Ownership/Ownership.h
+++ b/Source/Core/Dispatch/Ownership/Ownership.h
@@ -58,7 +58,7 @@
     std::int64_t phaseSinceMs = 0;
     /// Wall-clock time at which no older epoch could start a task any more.
     std::int64_t fencedWallMs = 0;
-    std::string journalMark;
+    std::string journalMarkerId;
     std::vector<Schema::UnloggedWindow> windows;
 };
 
@@ -75,9 +75,9 @@
     std::deque<SentPing> sent;
     /// When the last heartbeat of ours that it has answered was sent.
     std::optional<std::int64_t> answeredMs;
-    std::int64_t firstWatchedMs = 0;
-    bool heard = false;
-    std::int64_t lastHeardMs = 0;
+    std::int64_t firstTrackedMs = 0;
+    bool pingReceived = false;
+    std::int64_t lastReceivedMs = 0;
     std::int64_t sequence = 0;
     bool leaving = false;
     std::vector<std::string> live;
@@ -91,8 +91,8 @@
     std::int64_t acknowledgedUnloggedMs = 0;
     /// Declarations, its own among them, as it last reported them.
     std::map<std::string, std::int64_t> notices;
-    std::int64_t toldVersion = -1;
-    std::int64_t toldRevision = -1;
+    std::int64_t sentVersion = -1;
+    std::int64_t sentNoticeRevision = -1;
     std::int64_t lastPingMs = 0;
 };
 
@@ -127,7 +127,7 @@
     bool gap = false;
     std::int64_t gapEnd = 0;
     std::int64_t gapSinceMs = 0;
-    std::vector<Schema::LogEntry> sinceGap;
+    std::vector<Schema::LogEntry> entriesAfterGap;
     std::vector<ShardRole> roles;
     std::map<std::string, PeerView> peers;
     std::optional<ControlAppend> append;
@@ -147,31 +147,31 @@
     std::int64_t joinedMs = 0;
     std::vector<std::int64_t> orphanSinceMs;
     /// Time of the oldest record that a fresh reader needs; 0 while the stream is empty.
-    std::int64_t neededSinceWallMs = 0;
+    std::int64_t oldestNeededWallMs = 0;
     bool leaving = false;
-    bool nothingLeftToDo = false;
+    bool workFinished = false;
     /// What heartbeats carry for other modules.
     std::int64_t configVersion = 0;
     std::int64_t unloggedSinceMs = 0;
     std::int64_t journalOffset = 0;
     /// Our journalOffset of some heartbeats ago: a successor that has not read that far is cut off
     /// from the log.
-    std::int64_t journalOffsetDue = 0;
-    std::int64_t journalOffsetNext = 0;
+    std::int64_t requiredJournalOffset = 0;
+    std::int64_t nextRequiredJournalOffset = 0;
     std::int64_t journalSampledMs = 0;
 };
 
 OwnershipState makeOwnership(OwnershipSettings settings, Schema::Member self, Common::Moment now);
 
 /// Takes control records in, in log order.
-Effects controlRead(OwnershipState &state, const LogRead &read, Common::Moment now);
-Effects controlAppendDone(OwnershipState &state, std::uint64_t batch, AppendStatus status,
-                          Common::Moment now);
+Effects handleControlRead(OwnershipState &state, const LogRead &read, Common::Moment now);
+Effects handleControlAppendResult(OwnershipState &state, std::uint64_t batch, AppendStatus status,
+                                  Common::Moment now);
 /// Heartbeats, roster changes, claims, and the passing of time in fences.
 Effects ownershipTick(OwnershipState &state, std::uint64_t &nextBatch, Common::Moment now,
                       Common::Random &random);
 /// A heartbeat of another gateway, also of one that is not on the roster (yet).
-Effects peerHeard(OwnershipState &state, const Schema::PeerPing &ping, Common::Moment now);
+Effects handlePeerPing(OwnershipState &state, const Schema::PeerPing &ping, Common::Moment now);
 
 std::int64_t shardOf(const OwnershipState &state, const std::string &job);
 ShardPhase shardPhase(const OwnershipState &state, std::int64_t shard);
@@ -194,33 +194,33 @@
 /// Shards of ours in \a phase.
 std::vector<std::int64_t> shardsIn(const OwnershipState &state, ShardPhase phase);
 /// The agents' reports are in: the shard is served from now on.
-void shardServing(OwnershipState &state, std::int64_t shard, Common::Moment now);
+void markShardServing(OwnershipState &state, std::int64_t shard, Common::Moment now);
 /// Whether some earlier owner may have started a job of this shard, first submitted then, without a
 /// durable intent. Such a job, if no one knows of it, is answered unknown and is not started.
-bool predecessorUnlogged(const OwnershipState &state, std::int64_t shard,
-                         std::int64_t firstSubmittedMs);
+bool mayHaveStartedUnlogged(const OwnershipState &state, std::int64_t shard,
+                            std::int64_t firstSubmittedMs);
 
 /// Handovers that balance the shards evenly, or all shards where this gateway leaves.
 std::vector<WantedHandover> wantedHandovers(const OwnershipState &state, Common::Moment now);
 /// Stops serving \a shards for good and makes the message for \a successor; the caller adds the
 /// jobs, and repeats the message until it is accepted or the epochs are superseded.
-Schema::Handover handoverOut(OwnershipState &state, const std::vector<std::int64_t> &shards,
-                             const std::string &successor, Common::Moment now,
-                             Common::Random &random);
-/// Whether a handover made by handoverOut() still stands for any of its shards.
-bool handoverStands(const OwnershipState &state, const Schema::Handover &handover);
+Schema::Handover beginHandover(OwnershipState &state, const std::vector<std::int64_t> &shards,
+                               const std::string &successor, Common::Moment now,
+                               Common::Random &random);
+/// Whether a handover made by beginHandover() still stands for any of its shards.
+bool isHandoverPending(const OwnershipState &state, const Schema::Handover &handover);
 /// The successor has the shards. Ends HandingOver.
-void handoverDone(OwnershipState &state, const Schema::Handover &handover);
+void completeHandover(OwnershipState &state, const Schema::Handover &handover);
 /// Shards taken over, which are served at once; the jobs of the others must be left alone. Not
 /// accepted while this gateway knows less of the log than the sender: the sender repeats it. The
 /// caller answers an accepted one also where no shard is taken, as for a repetition.
-struct HandoverTaken
+struct HandoverResult
 {
     bool accepted = false;
     std::vector<std::int64_t> shards;
 };
-HandoverTaken handoverIn(OwnershipState &state, const Schema::Handover &handover,
-                         Common::Moment now);
+HandoverResult acceptHandover(OwnershipState &state, const Schema::Handover &handover,
+                              Common::Moment now);
 
 /// From now on no shard is claimed, and wantedHandovers() empties this gateway.
 void leave(OwnershipState &state);
--- a/Source/Core/Dispatch/Ownership/Quorum.cpp
+++ b/Source/Core/Dispatch/Ownership/Quorum.cpp
@@ -35,10 +35,10 @@
 bool rosterChangeAcknowledged(const OwnershipState &state)
 {
     const std::int64_t version = state.table.rosterOffset * EpochStep;
-    return blocksMajorities(previousInstances(state.table),
-                            [&](const std::string &instance) {
-                                return acknowledged(state, instance, version);
-                            })
+    return intersectsEveryMajority(previousInstances(state.table),
+                                   [&](const std::string &instance) {
+                                       return acknowledged(state, instance, version);
+                                   })
            && isMajority(rosterInstances(state.table), [&](const std::string &instance) {
                   return acknowledged(state, instance, version) && holdsOurNotices(state, instance);
               });
@@ -101,12 +101,12 @@
         return true;
     }
     const std::int64_t version = (epochBase(role.epoch) + 1) * EpochStep;
-    return fenced(state, [&](const std::string &instance) {
+    return isFenceQuorum(state, [&](const std::string &instance) {
         return acknowledged(state, instance, version);
     });
 }
 
-bool leaseOver(const OwnershipState &state, std::int64_t sinceMs, Common::Moment now)
+bool leaseExpired(const OwnershipState &state, std::int64_t sinceMs, Common::Moment now)
 {
     return !state.settings.safeguards.leaseWait
            || now.steadyMs - sinceMs >= leaseWithMargin(state.settings);
@@ -119,7 +119,7 @@
     return settings.leaseMs + settings.leaseMs / LeaseMarginDivisor + 1;
 }
 
-bool blocksMajorities(const std::vector<std::string> &instances, const InstanceTest &holds)
+bool intersectsEveryMajority(const std::vector<std::string> &instances, const InstanceTest &holds)
 {
     return 2 * countOf(instances, holds) >= instances.size();
 }
@@ -140,10 +140,11 @@
     });
 }
 
-bool fenced(const OwnershipState &state, const InstanceTest &holds)
+bool isFenceQuorum(const OwnershipState &state, const InstanceTest &holds)
 {
-    return blocksMajorities(rosterInstances(state.table), holds)
-           && (state.rosterSettled || blocksMajorities(previousInstances(state.table), holds));
+    return intersectsEveryMajority(rosterInstances(state.table), holds)
+           && (state.rosterSettled
+               || intersectsEveryMajority(previousInstances(state.table), holds));
 }
 
 bool acknowledged(const OwnershipState &state, const std::string &instance, std::int64_t version)
@@ -171,7 +172,7 @@
         state.rosterAckedMs = now.steadyMs;
     }
     if (!state.rosterSettled) {
-        state.rosterSettled = leaseOver(state, state.rosterAckedMs, now);
+        state.rosterSettled = leaseExpired(state, state.rosterAckedMs, now);
     }
 }
 
@@ -183,7 +184,7 @@
         if (role.phase == ShardPhase::Claimed && claimAcknowledged(state, role)) {
             enterFencing(state, shard, role, now);
         }
-        if (role.phase == ShardPhase::Fencing && leaseOver(state, role.phaseSinceMs, now)) {
+        if (role.phase == ShardPhase::Fencing && leaseExpired(state, role.phaseSinceMs, now)) {
             endFencing(state, role, now);
             effects.push_back(Note{
                     "shard_fenced",
@@ -234,7 +235,7 @@
     role.phaseSinceMs = now.steadyMs;
 }
 
-void retireNotices(OwnershipState &state, Common::Moment now)
+void expireNotices(OwnershipState &state, Common::Moment now)
 {
     const bool allOwned = std::all_of(
             state.table.shards.begin(), state.table.shards.end(),
--- a/Source/Core/Dispatch/Ownership/Transfer.cpp
+++ b/Source/Core/Dispatch/Ownership/Transfer.cpp
@@ -12,7 +12,7 @@
 
 constexpr const char *HandoverCounter = "auburntrail_handovers_total";
 
-void holdAgain(GatewayState &state, const std::vector<std::string> &requests)
+void holdRequestsAgain(GatewayState &state, const std::vector<std::string> &requests)
 {
     for (const std::string &id : requests) {
         Request *request = findRequest(state.requests, id);
@@ -24,10 +24,10 @@
 
 /// Takes the job out of every table of this gateway. Its tasks at agents are reported to the new
 /// owner, so that their slots are released here.
-void letGo(GatewayState &state, JobEntry &job, Common::Moment now)
+void releaseOwnedJob(GatewayState &state, JobEntry &job, Common::Moment now)
 {
-    holdAgain(state, job.waiters);
-    holdAgain(state, job.acceptWaiters);
+    holdRequestsAgain(state, job.waiters);
+    holdRequestsAgain(state, job.acceptWaiters);
     for (std::size_t index = 0; index < job.tasks.size(); ++index) {
         const TaskEntry &task = job.tasks[index];
         if (task.stage == TaskStage::Sent && !task.agent.empty()) {
@@ -42,10 +42,10 @@
     removeJob(state.ledger, id);
 }
 
-void letGoOfShard(GatewayState &state, std::int64_t shard, Common::Moment now)
+void releaseShardJobs(GatewayState &state, std::int64_t shard, Common::Moment now)
 {
     for (const std::string &id : jobsOfShard(state.ledger, shard)) {
-        letGo(state, *findJob(state.ledger, id), now);
+        releaseOwnedJob(state, *findJob(state.ledger, id), now);
     }
     state.recovery.provenSinceMs.erase(shard);
 }
@@ -63,11 +63,11 @@
 {
     OfferedHandover offer;
     offer.successor = successor;
-    offer.handover = handoverOut(state.site.ownership, {shard}, successor, now, random);
+    offer.handover = beginHandover(state.site.ownership, {shard}, successor, now, random);
     for (const std::string &id : jobsOfShard(state.ledger, shard)) {
         offer.handover.jobs.push_back(snapshotOf(*findJob(state.ledger, id)));
     }
-    letGoOfShard(state, shard, now);
+    releaseShardJobs(state, shard, now);
     offer.lastSentMs = now.steadyMs;
     Effects effects{SendToGateway{successor, handoverFrame(offer.handover)}};
     state.offers.push_back(std::move(offer));
@@ -79,7 +79,7 @@
     auto &offers = state.offers;
     offers.erase(std::remove_if(offers.begin(), offers.end(),
                                 [&state](const OfferedHandover &offer) {
-                                    return !handoverStands(state.site.ownership, offer.handover);
+                                    return !isHandoverPending(state.site.ownership, offer.handover);
                                 }),
                  offers.end());
     Effects effects;
@@ -108,9 +108,9 @@
     return effects;
 }
 
-Effects handoverHeard(GatewayState &state, const Schema::Handover &handover, Common::Moment now)
+Effects handleHandover(GatewayState &state, const Schema::Handover &handover, Common::Moment now)
 {
-    const HandoverTaken taken = takeHandover(state.site, handover, now);
+    const HandoverResult taken = takeHandover(state.site, handover, now);
     Effects effects;
     std::set<std::string> agents;
     for (const Schema::JobSnapshot &snapshot : handover.jobs) {
@@ -156,7 +156,7 @@
                 return offer.handover.requestId == accepted.requestId;
             });
     if (found != offers.end()) {
-        handoverDone(state.site.ownership, found->handover);
+        completeHandover(state.site.ownership, found->handover);
         offers.erase(found);
     }
     return {};
@@ -172,7 +172,7 @@
         }
     }
     for (const std::int64_t shard : lost) {
-        letGoOfShard(state, shard, now);
+        releaseShardJobs(state, shard, now);
     }
 }
 
--- a/Source/Core/Dispatch/Ownership/Transfer.h
+++ b/Source/Core/Dispatch/Ownership/Transfer.h
@@ -8,7 +8,7 @@
 
 /// Offers shards that another gateway should have, and repeats offers until they are accepted.
 Effects transferTick(GatewayState &state, Common::Moment now, Common::Random &random);
-Effects handoverHeard(GatewayState &state, const Schema::Handover &handover, Common::Moment now);
+Effects handleHandover(GatewayState &state, const Schema::Handover &handover, Common::Moment now);
 Effects handoverAccepted(GatewayState &state, const Schema::HandoverAccepted &accepted);
 
 /// Forgets the jobs of shards that have another owner by now; requests that waited for them are
--- a/Source/Core/Dispatch/Persistence/JobAnswers.cpp
+++ b/Source/Core/Dispatch/Persistence/JobAnswers.cpp
@@ -46,7 +46,7 @@
     return answer;
 }
 
-Schema::JobAnswer givenUpAnswer(const JobEntry &job, Reason reason, std::string detail)
+Schema::JobAnswer abortedAnswer(const JobEntry &job, Reason reason, std::string detail)
 {
     const StageCounts counts = countStages(job);
     const bool nothingStarted = counts.started() == 0;
--- a/Source/Core/Dispatch/Persistence/JobAnswers.h
+++ b/Source/Core/Dispatch/Persistence/JobAnswers.h
@@ -13,7 +13,7 @@
 /// The answer if the job's tasks decide it: all succeeded, one failed, or one lost and none open.
 std::optional<Schema::JobAnswer> decidedAnswer(const JobEntry &job);
 /// The answer when the job is given up for \a reason, from what is known now.
-Schema::JobAnswer givenUpAnswer(const JobEntry &job, Schema::Reason reason,
+Schema::JobAnswer abortedAnswer(const JobEntry &job, Schema::Reason reason,
                                 std::string detail = {});
 /// What a job's state is while it is running.
 Schema::JobAnswer pendingAnswer(const JobEntry &job);
--- a/Source/Core/Dispatch/Persistence/JobEntry.cpp
+++ b/Source/Core/Dispatch/Persistence/JobEntry.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-void takeContent(JobEntry &job, const Schema::SubmitJob &submit)
+void setContent(JobEntry &job, const Schema::SubmitJob &submit)
 {
     job.submit = submit;
     job.team = submit.team;
@@ -140,9 +140,9 @@
         markNotStarted(job, report.index);
         return ReportEffect::NotStarted;
     }
-    const bool mayLearn = isOpen(task.stage) || task.stage == TaskStage::Lost;
+    const bool canUpdate = isOpen(task.stage) || task.stage == TaskStage::Lost;
     const TaskStage reported = stageOf(report.phase);
-    if (!mayLearn || (reported == task.stage && task.agent == agent)) {
+    if (!canUpdate || (reported == task.stage && task.agent == agent)) {
         return ReportEffect::Nothing;
     }
     task.stage = reported;
--- a/Source/Core/Dispatch/Persistence/JobEntry.h
+++ b/Source/Core/Dispatch/Persistence/JobEntry.h
@@ -63,7 +63,7 @@
 };
 
 /// The job takes over what its caller has submitted.
-void takeContent(JobEntry &job, const Schema::SubmitJob &submit);
+void setContent(JobEntry &job, const Schema::SubmitJob &submit);
 
 /// How many tasks of a job are at each stage.
 struct StageCounts
--- a/Source/Core/Dispatch/Persistence/JobSnapshots.cpp
+++ b/Source/Core/Dispatch/Persistence/JobSnapshots.cpp
@@ -42,7 +42,7 @@
     job.id = snapshot.id;
     job.digest = snapshot.digest;
     if (snapshot.submit) {
-        takeContent(job, *snapshot.submit);
+        setContent(job, *snapshot.submit);
     }
     job.shard = shardOf(state, job.id);
     job.firstSubmittedMs = snapshot.answer.firstSubmittedMs.value_or(0);
--- a/Source/Core/Dispatch/Persistence/Journal.cpp
+++ b/Source/Core/Dispatch/Persistence/Journal.cpp
@@ -39,9 +39,9 @@
 JournalBatch makeBatch(JournalState &state, Common::Moment now, Common::Random &random)
 {
     JournalBatch batch;
-    if (!state.marks.empty()) {
-        batch.record = std::move(state.marks.front());
-        state.marks.pop_front();
+    if (!state.pendingMarkers.empty()) {
+        batch.record = std::move(state.pendingMarkers.front());
+        state.pendingMarkers.pop_front();
         return batch;
     }
     batch.record = makeRecord(state.self, Schema::RecordKind::Intents, now, random);
@@ -106,7 +106,7 @@
         state.windows.push_back(window);
     }
     if (record.instance == state.self) {
-        state.marksRead.push_back(record.id);
+        state.readMarkers.push_back(record.id);
     }
 }
 
@@ -185,7 +185,7 @@
         }
         return effects;
     }
-    const bool waiting = !state.held.empty() || !state.marks.empty();
+    const bool waiting = !state.held.empty() || !state.pendingMarkers.empty();
     if (waiting && now.steadyMs - state.lastAppendMs >= state.settings.batchMs) {
         state.batch = makeBatch(state, now, random);
         append(effects, sendBatch(state, nextBatch, now));
@@ -193,8 +193,8 @@
     return effects;
 }
 
-Effects journalAppendDone(JournalState &state, std::uint64_t batch, AppendStatus status,
-                          Common::Moment now)
+Effects handleJournalAppendResult(JournalState &state, std::uint64_t batch, AppendStatus status,
+                                  Common::Moment now)
 {
     if (!state.batch || state.batch->batch != batch) {
         return {};
@@ -210,7 +210,7 @@
     return {CountReason{"journal_append_retries", Schema::Reason::LogUnavailable}};
 }
 
-Effects journalRead(JournalState &state, const LogRead &read, Common::Moment now)
+Effects handleJournalRead(JournalState &state, const LogRead &read, Common::Moment now)
 {
     Effects effects;
     if (read.oldestOffset > state.readOffset && state.readOnce) {
@@ -238,20 +238,20 @@
     state.acknowledgedSinceMs = 0;
 }
 
-std::string markShardsTaken(JournalState &state, std::vector<Schema::ShardOwner> shards,
-                            std::vector<Schema::UnloggedWindow> windows, Common::Moment now,
-                            Common::Random &random)
+std::string appendShardsTakenMarker(JournalState &state, std::vector<Schema::ShardOwner> shards,
+                                    std::vector<Schema::UnloggedWindow> windows, Common::Moment now,
+                                    Common::Random &random)
 {
     Schema::LogRecord record = makeRecord(state.self, Schema::RecordKind::ShardsTaken, now, random);
     record.shards = std::move(shards);
     record.unloggedWindows = std::move(windows);
-    state.marks.push_back(record);
+    state.pendingMarkers.push_back(record);
     return record.id;
 }
 
-std::vector<std::string> takeMarksRead(JournalState &state)
+std::vector<std::string> takeReadMarkers(JournalState &state)
 {
-    return std::exchange(state.marksRead, {});
+    return std::exchange(state.readMarkers, {});
 }
 
 std::optional<JournaledIntent> findIntent(const JournalState &state, const std::string &job)
--- a/Source/Core/Dispatch/Persistence/Journal.h
+++ b/Source/Core/Dispatch/Persistence/Journal.h
@@ -57,10 +57,10 @@
     std::unordered_map<std::string, std::int64_t> heldSubmittedMs;
     std::optional<JournalBatch> batch;
     /// shards_taken records that go out before further intents.
-    std::deque<Schema::LogRecord> marks;
+    std::deque<Schema::LogRecord> pendingMarkers;
     std::vector<std::string> newlyDurable;
     /// shards_taken records of ours that were read back.
-    std::vector<std::string> marksRead;
+    std::vector<std::string> readMarkers;
     std::int64_t lastAppendMs = 0;
     std::int64_t lastDurableMs = 0;
     /// 0, or the declaration: jobs first submitted at or after it may start without a durable
@@ -96,19 +96,20 @@
 /// Appends what waits, declares and withdraws the unlogged mode, and forgets expired ids.
 Effects journalTick(JournalState &state, std::uint64_t &nextBatch, Common::Moment now,
                     Common::Random &random);
-Effects journalAppendDone(JournalState &state, std::uint64_t batch, AppendStatus status,
-                          Common::Moment now);
-Effects journalRead(JournalState &state, const LogRead &read, Common::Moment now);
+Effects handleJournalAppendResult(JournalState &state, std::uint64_t batch, AppendStatus status,
+                                  Common::Moment now);
+Effects handleJournalRead(JournalState &state, const LogRead &read, Common::Moment now);
 
 /// A declaration that stands is made anew, to be acknowledged anew: this gateway has gained a
 /// shard, for which an earlier successor may have recorded the old declaration as ended.
 void redeclare(JournalState &state);
 
-/// Appends a shards_taken record; its id turns up in marksRead once everything before it was read.
-std::string markShardsTaken(JournalState &state, std::vector<Schema::ShardOwner> shards,
-                            std::vector<Schema::UnloggedWindow> windows, Common::Moment now,
-                            Common::Random &random);
-std::vector<std::string> takeMarksRead(JournalState &state);
+/// Appends a shards_taken record; its id turns up in readMarkers once everything before it was
+/// read.
+std::string appendShardsTakenMarker(JournalState &state, std::vector<Schema::ShardOwner> shards,
+                                    std::vector<Schema::UnloggedWindow> windows, Common::Moment now,
+                                    Common::Random &random);
+std::vector<std::string> takeReadMarkers(JournalState &state);
 
 /// What the log says of a job: accepted by some owner, and maybe started.
 std::optional<JournaledIntent> findIntent(const JournalState &state, const std::string &job);
--- a/Source/Core/Dispatch/Persistence/Ledger.cpp
+++ b/Source/Core/Dispatch/Persistence/Ledger.cpp
@@ -61,23 +61,23 @@
     return std::min(submit.deadlineMs.value_or(first + state.settings.defaultDeadlineMs), latest);
 }
 
-SubmitVerdict lookUp(const LedgerState &state, const Schema::SubmitJob &submit)
+SubmissionStatus lookUpSubmission(const LedgerState &state, const Schema::SubmitJob &submit)
 {
     const JobEntry *job = findJob(state, submit.id.value_or(""));
     if (job == nullptr) {
-        return SubmitVerdict::New;
+        return SubmissionStatus::New;
     }
     if (!job->digest.empty() && job->digest != submissionDigest(submit)) {
-        return SubmitVerdict::Conflict;
+        return SubmissionStatus::Conflict;
     }
     if (job->answer) {
         // A cancelled job stays cancelled: a resubmission that crossed the cancellation would
         // otherwise revive it.
         const bool mayTryAgain = job->answer->outcome == JobOutcome::Refused
                                  && job->answer->reason != Reason::Cancelled;
-        return mayTryAgain ? SubmitVerdict::Refused : SubmitVerdict::Ended;
+        return mayTryAgain ? SubmissionStatus::Refused : SubmissionStatus::Ended;
     }
-    return job->submit ? SubmitVerdict::Pending : SubmitVerdict::Recovered;
+    return job->submit ? SubmissionStatus::Pending : SubmissionStatus::Recovered;
 }
 
 JobEntry &insertJob(LedgerState &state, JobEntry job)
@@ -95,7 +95,7 @@
     JobEntry job;
     job.id = submit.id.value_or("");
     job.digest = submissionDigest(submit);
-    takeContent(job, submit);
+    setContent(job, submit);
     job.shard = shardOf(state, job.id);
     job.firstSubmittedMs = submit.firstSubmittedMs.value_or(0);
     job.deadlineMs = deadlineOf(state, submit);
@@ -123,7 +123,7 @@
 void adoptSubmission(LedgerState &state, JobEntry &job, const Schema::SubmitJob &submit)
 {
     eraseFrom(state.deadlines, job.deadlineMs, job.id);
-    takeContent(job, submit);
+    setContent(job, submit);
     job.digest = submissionDigest(submit);
     job.deadlineMs = deadlineOf(state, submit);
     state.deadlines.emplace(job.deadlineMs, job.id);
@@ -173,19 +173,19 @@
     return jobs;
 }
 
-std::size_t forgetExpired(LedgerState &state, Common::Moment now)
+std::size_t removeExpiredJobs(LedgerState &state, Common::Moment now)
 {
-    std::size_t forgotten = 0;
+    std::size_t removed = 0;
     while (!state.expiries.empty() && state.expiries.begin()->first <= now.wallMs) {
         const auto job = state.jobs.find(state.expiries.begin()->second);
         if (job != state.jobs.end()) {
             eraseFrom(state.deadlines, job->second.deadlineMs, job->first);
             state.jobs.erase(job);
-            ++forgotten;
+            ++removed;
         }
         state.expiries.erase(state.expiries.begin());
     }
-    return forgotten;
+    return removed;
 }
 
 std::vector<std::string> jobsOfShard(const LedgerState &state, std::int64_t shard)
--- a/Source/Core/Dispatch/Persistence/Ledger.h
+++ b/Source/Core/Dispatch/Persistence/Ledger.h
@@ -38,7 +38,7 @@
 std::int64_t shardOf(const LedgerState &state, const std::string &job);
 
 /// What the ledger says to a submission.
-enum class SubmitVerdict {
+enum class SubmissionStatus {
     New,
     Pending,
     Ended,
@@ -54,7 +54,7 @@
                                  Common::Moment now);
 
 /// Looks the id up.
-SubmitVerdict lookUp(const LedgerState &state, const Schema::SubmitJob &submit);
+SubmissionStatus lookUpSubmission(const LedgerState &state, const Schema::SubmitJob &submit);
 
 /// Hash of what makes a submission the same submission: all but the deadline.
 std::string submissionDigest(const Schema::SubmitJob &submit);
@@ -79,7 +79,7 @@
 /// Jobs not ended whose deadline has passed.
 std::vector<std::string> pastDeadline(const LedgerState &state, Common::Moment now);
 /// Forgets ended jobs whose dedup window is over.
-std::size_t forgetExpired(LedgerState &state, Common::Moment now);
+std::size_t removeExpiredJobs(LedgerState &state, Common::Moment now);
 
 std::vector<std::string> jobsOfShard(const LedgerState &state, std::int64_t shard);
 /// Takes the job out: its shard has another owner. Its waiters must have been dealt with.
--- a/Source/Core/Dispatch/Persistence/Recovery.cpp
+++ b/Source/Core/Dispatch/Persistence/Recovery.cpp
@@ -30,8 +30,8 @@
     return epochs;
 }
 
-Effect askFrame(const GatewayState &state, const std::string &agent, const std::string &requestId,
-                const std::vector<std::int64_t> &shards)
+Effect askTasksEffect(const GatewayState &state, const std::string &agent,
+                      const std::string &requestId, const std::vector<std::int64_t> &shards)
 {
     Schema::Frame frame = frameOf(Schema::FrameType::AskTasks);
     frame.askTasks.emplace();
@@ -40,12 +40,12 @@
     return SendToAgent{agent, std::move(frame)};
 }
 
-std::string nextQuestion(GatewayState &state)
+std::string nextQuestionId(GatewayState &state)
 {
     return "q" + std::to_string(++state.lastQuestion);
 }
 
-std::int64_t completeSince(const GatewayState &state, Common::Moment now)
+std::int64_t agentListCompleteSince(const GatewayState &state, Common::Moment now)
 {
     const std::int64_t sinceStart = state.startedWallMs;
     const std::int64_t lastGoneWall =
@@ -69,7 +69,7 @@
     for (const std::string &agent : linkedAgents(state.agents)) {
         if (takeover.agentsAsked.insert(agent).second) {
             takeover.agentsKnown.insert(agent);
-            effects.push_back(askFrame(state, agent, takeover.requestId, takeover.shards));
+            effects.push_back(askTasksEffect(state, agent, takeover.requestId, takeover.shards));
         }
     }
     return effects;
@@ -107,10 +107,10 @@
     if (takeover.shards.empty()) {
         return {};
     }
-    takeover.requestId = nextQuestion(state);
+    takeover.requestId = nextQuestionId(state);
     takeover.startedMs = now.steadyMs;
     takeover.gatewaysAnswered.insert(state.self.instance);
-    takeover.completeSinceMs = completeSince(state, now);
+    takeover.completeSinceMs = agentListCompleteSince(state, now);
     Effects effects{Note{"takeover_begun", {{"shards", std::to_string(takeover.shards.size())}}}};
     state.recovery.takeovers.push_back(std::move(takeover));
     return effects;
@@ -134,7 +134,7 @@
 }
 
 /// Settles the tasks that nobody has told of: not started where that is proved, lost elsewhere.
-Effects settleTraces(GatewayState &state, std::int64_t shard, std::int64_t provenSinceMs)
+Effects resolveUnreportedTasks(GatewayState &state, std::int64_t shard, std::int64_t provenSinceMs)
 {
     Effects effects;
     for (const std::string &id : jobsOfShard(state.ledger, shard)) {
@@ -172,7 +172,7 @@
             continue;
         }
         state.recovery.provenSinceMs[shard] = provenSinceMs;
-        append(effects, settleTraces(state, shard, provenSinceMs));
+        append(effects, resolveUnreportedTasks(state, shard, provenSinceMs));
         serveShard(state.site, shard, now);
     }
     return effects;
@@ -216,8 +216,8 @@
     return effects;
 }
 
-Effects agentsAskedFor(const GatewayState &state, const std::string &gateway,
-                       const Schema::AskAgents &ask, Common::Moment now)
+Effects handleAskAgents(const GatewayState &state, const std::string &gateway,
+                        const Schema::AskAgents &ask, Common::Moment now)
 {
     Schema::Frame frame = frameOf(Schema::FrameType::KnownAgents);
     Schema::KnownAgents &known = frame.knownAgents.emplace();
@@ -226,11 +226,11 @@
     for (const auto &[agent, record] : state.agents.agents) {
         known.agents.push_back(agent);
     }
-    known.completeSinceMs = completeSince(state, now);
+    known.completeSinceMs = agentListCompleteSince(state, now);
     return {SendToGateway{gateway, std::move(frame)}};
 }
 
-Effects knownAgentsHeard(GatewayState &state, const Schema::KnownAgents &known)
+Effects handleKnownAgents(GatewayState &state, const Schema::KnownAgents &known)
 {
     for (Takeover &takeover : state.recovery.takeovers) {
         if (takeover.requestId == known.requestId) {
@@ -259,13 +259,13 @@
                     {{id, static_cast<int>(index)}, task.epoch, task.attempt});
         }
     }
-    record.openQuestion = nextQuestion(state);
-    return {askFrame(state, agent, record.openQuestion, {shards.begin(), shards.end()})};
+    record.openQuestion = nextQuestionId(state);
+    return {askTasksEffect(state, agent, record.openQuestion, {shards.begin(), shards.end()})};
 }
 
-Effects questionAnswered(GatewayState &state, const std::string &agent,
-                         const Schema::TaskStates &report, Common::Moment now,
-                         Common::Random &random)
+Effects handleTaskStatesAnswer(GatewayState &state, const std::string &agent,
+                               const Schema::TaskStates &report, Common::Moment now,
+                               Common::Random &random)
 {
     const std::string question = report.answerTo.value_or("");
     for (Takeover &takeover : state.recovery.takeovers) {
--- a/Source/Core/Dispatch/Persistence/Recovery.h
+++ b/Source/Core/Dispatch/Persistence/Recovery.h
@@ -13,16 +13,16 @@
 /// Starts, repeats and ends takeovers of the shards that need reports.
 Effects recoveryTick(GatewayState &state, Common::Moment now);
 
-Effects agentsAskedFor(const GatewayState &state, const std::string &gateway,
-                       const Schema::AskAgents &ask, Common::Moment now);
-Effects knownAgentsHeard(GatewayState &state, const Schema::KnownAgents &known);
+Effects handleAskAgents(const GatewayState &state, const std::string &gateway,
+                        const Schema::AskAgents &ask, Common::Moment now);
+Effects handleKnownAgents(GatewayState &state, const Schema::KnownAgents &known);
 
 /// The agent has a connection again and tasks were with it.
 Effects askAfterReconnection(GatewayState &state, const std::string &agent);
 /// An answer to a question of ours, after its states have been taken in: what it does not list has
 /// not started and will not, since the agent knows our epochs.
-Effects questionAnswered(GatewayState &state, const std::string &agent,
-                         const Schema::TaskStates &report, Common::Moment now,
-                         Common::Random &random);
+Effects handleTaskStatesAnswer(GatewayState &state, const std::string &agent,
+                               const Schema::TaskStates &report, Common::Moment now,
+                               Common::Random &random);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Site.cpp
+++ b/Source/Core/Dispatch/Site.cpp
@@ -28,7 +28,7 @@
     std::vector<ShardRole *> roles;
     for (const std::int64_t shard : shardsIn(site.ownership, ShardPhase::NeedsJournal)) {
         ShardRole &role = site.ownership.roles[static_cast<std::size_t>(shard)];
-        if (!role.journalMark.empty()) {
+        if (!role.journalMarkerId.empty()) {
             continue;
         }
         Schema::ShardOwner owner;
@@ -42,18 +42,18 @@
     if (shards.empty()) {
         return;
     }
-    const std::string mark =
-            markShardsTaken(site.journal, std::move(shards), std::move(windows), now, random);
+    const std::string mark = appendShardsTakenMarker(site.journal, std::move(shards),
+                                                     std::move(windows), now, random);
     for (ShardRole *role : roles) {
-        role->journalMark = mark;
+        role->journalMarkerId = mark;
     }
 }
 
 void passMarks(SiteState &site, Common::Moment now)
 {
-    for (const std::string &mark : takeMarksRead(site.journal)) {
+    for (const std::string &mark : takeReadMarkers(site.journal)) {
         for (const std::int64_t shard : shardsIn(site.ownership, ShardPhase::NeedsJournal)) {
-            if (site.ownership.roles[static_cast<std::size_t>(shard)].journalMark == mark) {
+            if (site.ownership.roles[static_cast<std::size_t>(shard)].journalMarkerId == mark) {
                 shardJournalRead(site.ownership, shard, site.journal.windows, now);
             }
         }
@@ -78,7 +78,7 @@
             continue;
         }
         const auto peer = site.ownership.peers.find(send->instance);
-        const bool behind = peer != site.ownership.peers.end() && peer->second.heard
+        const bool behind = peer != site.ownership.peers.end() && peer->second.pingReceived
                             && peer->second.configVersion < site.config.inForce.version;
         if (behind) {
             send->frame.peerPing->configuration = site.config.inForce;
@@ -109,9 +109,9 @@
 {
     switch (stream) {
     case LogStream::Control:
-        return controlRead(site.ownership, read, now);
+        return handleControlRead(site.ownership, read, now);
     case LogStream::Journal: {
-        Effects effects = journalRead(site.journal, read, now);
+        Effects effects = handleJournalRead(site.journal, read, now);
         site.ownership.journalOffset = site.journal.readOffset;
         passMarks(site, now);
         return effects;
@@ -127,9 +127,9 @@
 {
     switch (stream) {
     case LogStream::Control:
-        return controlAppendDone(site.ownership, batch, status, now);
+        return handleControlAppendResult(site.ownership, batch, status, now);
     case LogStream::Journal:
-        return journalAppendDone(site.journal, batch, status, now);
+        return handleJournalAppendResult(site.journal, batch, status, now);
     case LogStream::Config:
         return configAppendDone(site.config, batch, status, now);
     }
@@ -153,7 +153,7 @@
 {
     site.ownership.configVersion = site.config.inForce.version;
     setDeclaration(site.ownership, site.journal.unloggedSinceMs);
-    Effects effects = peerHeard(site.ownership, ping, now);
+    Effects effects = handlePeerPing(site.ownership, ping, now);
     exchangeDeclarations(site);
     peerHasVersion(site.config, ping.configVersion);
     const auto peer = site.ownership.peers.find(ping.instance);
@@ -169,14 +169,14 @@
 
 void serveShard(SiteState &site, std::int64_t shard, Common::Moment now)
 {
-    shardServing(site.ownership, shard, now);
+    markShardServing(site.ownership, shard, now);
     redeclare(site.journal);
 }
 
-HandoverTaken takeHandover(SiteState &site, const Schema::Handover &handover, Common::Moment now)
+HandoverResult takeHandover(SiteState &site, const Schema::Handover &handover, Common::Moment now)
 {
     site.ownership.journalOffset = site.journal.readOffset;
-    HandoverTaken taken = handoverIn(site.ownership, handover, now);
+    HandoverResult taken = acceptHandover(site.ownership, handover, now);
     if (!taken.shards.empty()) {
         redeclare(site.journal);
     }
@@ -189,8 +189,9 @@
         return JobHistory::Journaled;
     }
     const std::int64_t shard = shardOf(site.ownership, job);
-    return predecessorUnlogged(site.ownership, shard, firstSubmittedMs) ? JobHistory::Unknown
-                                                                        : JobHistory::NeverStarted;
+    return mayHaveStartedUnlogged(site.ownership, shard, firstSubmittedMs)
+                   ? JobHistory::Unknown
+                   : JobHistory::NeverStarted;
 }
 
 IntentState startAllowed(const SiteState &site, const std::string &job, Common::Moment now)
--- a/Source/Core/Dispatch/Site.h
+++ b/Source/Core/Dispatch/Site.h
@@ -32,9 +32,9 @@
 
 /// The agents' reports on a shard in ShardPhase::NeedsReports are in.
 void serveShard(SiteState &site, std::int64_t shard, Common::Moment now);
-/// See handoverIn(). Jobs that come with the shards and aren't in the journal are to be added to
-/// it.
-HandoverTaken takeHandover(SiteState &site, const Schema::Handover &handover, Common::Moment now);
+/// See acceptHandover(). Jobs that come with the shards and aren't in the journal are to be added
+/// to it.
+HandoverResult takeHandover(SiteState &site, const Schema::Handover &handover, Common::Moment now);
 
 /// What a new owner knows of a job that it has no other trace of.
 enum class JobHistory {
--- a/Source/UnitTests/Dispatch/Ownership/SiteJobs.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/SiteJobs.cpp
@@ -75,8 +75,8 @@
     for (const Dispatch::WantedHandover &wanted :
          Dispatch::wantedHandovers(gateway.site.ownership, moment(world))) {
         Schema::Handover handover =
-                Dispatch::handoverOut(gateway.site.ownership, wanted.shards, wanted.successor,
-                                      moment(world), world.random);
+                Dispatch::beginHandover(gateway.site.ownership, wanted.shards, wanted.successor,
+                                        moment(world), world.random);
         addJobs(world, gateway, handover);
         gateway.handovers.push_back(std::move(handover));
     }
@@ -93,7 +93,7 @@
 
 void receiveHandover(World &world, Gateway &gateway, const Schema::Handover &handover)
 {
-    const Dispatch::HandoverTaken taken =
+    const Dispatch::HandoverResult taken =
             Dispatch::takeHandover(gateway.site, handover, moment(world));
     for (const Schema::JobSnapshot &job : handover.jobs) {
         const std::int64_t shard = Dispatch::shardOf(gateway.site.ownership, job.id);
@@ -110,7 +110,7 @@
         return;
     }
     send(world, gateway.member.instance, handover.from,
-         [handover](Gateway &from) { Dispatch::handoverDone(from.site.ownership, handover); });
+         [handover](Gateway &from) { Dispatch::completeHandover(from.site.ownership, handover); });
 }
 
 } // namespace
@@ -141,8 +141,8 @@
     auto &handovers = gateway.handovers;
     handovers.erase(std::remove_if(handovers.begin(), handovers.end(),
                                    [&](const Schema::Handover &handover) {
-                                       return !Dispatch::handoverStands(gateway.site.ownership,
-                                                                        handover);
+                                       return !Dispatch::isHandoverPending(gateway.site.ownership,
+                                                                           handover);
                                    }),
                     handovers.end());
     if (handovers.empty()) {
--- a/Source/UnitTests/Dispatch/Persistence/JournalTest.cpp
+++ b/Source/UnitTests/Dispatch/Persistence/JournalTest.cpp
@@ -77,7 +77,7 @@
     addIntent(journal.state, intentOf("b", 1), at(1));
     CHECK(jobsIn(*first) == std::vector<std::string>{"a"});
     CHECK_FALSE(journal.tick(20).has_value());
-    journalAppendDone(journal.state, first->batch, AppendStatus::Durable, at(20));
+    handleJournalAppendResult(journal.state, first->batch, AppendStatus::Durable, at(20));
     CHECK(takeNewlyDurable(journal.state) == std::vector<std::string>{"a"});
     CHECK(intentState(journal.state, "a") == IntentState::Durable);
     CHECK(jobsIn(*journal.tick(21)) == std::vector<std::string>{"b", "c"});
@@ -92,18 +92,19 @@
         Journal journal;
         addIntent(journal.state, intentOf("a", 0), at(0));
         const auto first = journal.tick(0);
-        journalAppendDone(journal.state, first->batch, AppendStatus::Unknown, at(100));
+        handleJournalAppendResult(journal.state, first->batch, AppendStatus::Unknown, at(100));
         CHECK(intentState(journal.state, "a") == IntentState::Waiting);
         CHECK_FALSE(journal.tick(150).has_value());
         const auto second = journal.tick(400);
         CHECK(second->records[0].id == first->records[0].id);
         if (readBack) {
-            journalRead(journal.state, readOf({first->records[0], second->records[0]}), at(410));
+            handleJournalRead(journal.state, readOf({first->records[0], second->records[0]}),
+                              at(410));
         } else {
-            journalAppendDone(journal.state, second->batch, AppendStatus::Durable, at(410));
+            handleJournalAppendResult(journal.state, second->batch, AppendStatus::Durable, at(410));
         }
         CHECK(takeNewlyDurable(journal.state) == std::vector<std::string>{"a"});
-        journalAppendDone(journal.state, second->batch, AppendStatus::Durable, at(420));
+        handleJournalAppendResult(journal.state, second->batch, AppendStatus::Durable, at(420));
         CHECK(takeNewlyDurable(journal.state).empty());
     }
 }
@@ -117,10 +118,10 @@
     Journal journal;
     addIntent(journal.state, intentOf("a", -5000), at(0));
     const auto first = journal.tick(0);
-    journalAppendDone(journal.state, first->batch, AppendStatus::Unavailable, at(100));
+    handleJournalAppendResult(journal.state, first->batch, AppendStatus::Unavailable, at(100));
     addIntent(journal.state, intentOf("b", 1000), at(1000));
     const auto second = journal.tick(1990);
-    journalAppendDone(journal.state, second->batch, AppendStatus::Unavailable, at(2090));
+    handleJournalAppendResult(journal.state, second->batch, AppendStatus::Unavailable, at(2090));
     CHECK(journal.state.unloggedSinceMs == 0);
     const auto retried = journal.tick(2500);
     CHECK(journal.state.unloggedSinceMs == WallMs - 5000);
@@ -129,12 +130,12 @@
     CHECK(intentState(journal.state, "a") == IntentState::Unlogged);
     addIntent(journal.state, intentOf("older", -6000), at(2500));
     CHECK(intentState(journal.state, "older") == IntentState::Waiting);
-    journalAppendDone(journal.state, retried->batch, AppendStatus::Durable, at(3000));
+    handleJournalAppendResult(journal.state, retried->batch, AppendStatus::Durable, at(3000));
     CHECK(intentState(journal.state, "b") == IntentState::Waiting);
     CHECK(journal.state.unloggedSinceMs != 0);
     const auto rest = journal.tick(3010);
     CHECK(jobsIn(*rest) == std::vector<std::string>{"b", "older"});
-    journalAppendDone(journal.state, rest->batch, AppendStatus::Durable, at(3020));
+    handleJournalAppendResult(journal.state, rest->batch, AppendStatus::Durable, at(3020));
     CHECK(journal.state.unloggedSinceMs == 0);
 }
 
@@ -146,7 +147,7 @@
     record.kind = Schema::RecordKind::Intents;
     record.intents.emplace();
     record.intents->push_back(intentOf("a", 0));
-    journalRead(journal.state, readOf({record, record}), at(10));
+    handleJournalRead(journal.state, readOf({record, record}), at(10));
     const auto found = findIntent(journal.state, "a");
     REQUIRE(found.has_value());
     CHECK(found->tasks == 3);
