--- a/Source/Core/Dispatch/Ownership/ControlAppend.cpp
+++ b/Source/Core/Dispatch/Ownership/ControlAppend.cpp
@@ -3,20 +3,25 @@
 
 #include "Dispatch/Ownership/OwnershipParts.h"
 
-/// The control records that this gateway writes: joins, leaves, claims, handovers and snapshots.
-/// One is under way at a time. Each holds only where what it was based on still holds, so a record
-/// whose answer was lost does no harm when it turns up late or twice.
+/// Decides which control record this gateway appends next: join, leave, claim, handover, settled
+/// roster or snapshot. At most one is in progress at a time. Apart from snapshots, a record is
+/// valid only if the state that it is based on is unchanged when it is applied, so a record whose
+/// append was not confirmed does no harm if it arrives late or twice.
 namespace Dispatch {
 
 namespace {
 
-/// A durable record not read back for this long fell into a gap.
+/// A durable record that is not read back within this time is assumed to lie in a gap of the
+/// stream.
 constexpr std::int64_t ReadBackTimeoutMs = 10000;
-/// A silent member's seat is left for a replacement for this many times the silence.
+/// A silent member stays on the roster for this many times peerSilenceMs, so that a replacement can
+/// take its place.
 constexpr std::int64_t MemberRemovalSilences = 10;
-/// Where the preferred claimant does not claim, any other does after this many silences.
+/// If the preferred claimant doesn't claim an orphaned shard, any other member does so after this
+/// many times peerSilenceMs. A shard whose handover hasn't arrived after the same time is orphaned
+/// as well.
 constexpr std::int64_t OrphanClaimSilences = 3;
-/// A roster this large may lose a silent member's seat.
+/// A silent member is removed only from a roster of at least this many members.
 constexpr std::size_t MinRosterForRemoval = 4;
 
 using OptionalRecord = std::optional<Schema::LogRecord>;
@@ -35,7 +40,8 @@
            || !state.settings.safeguards.rosterOneAtATime;
 }
 
-/// Whether enough members told us what they know that no declaration can have been missed.
+/// Whether heartbeats were received from members of every possible majority, so that no
+/// acknowledged declaration can have been missed.
 bool enoughPeersReported(const OwnershipState &state)
 {
     return intersectsEveryMajority(rosterInstances(state.table), [&](const std::string &instance) {
@@ -44,9 +50,10 @@
     });
 }
 
-/// The process that held our address is gone, and what it had acknowledged with it. Where too few
-/// others are left to ask, it is taken to have been unlogged ever since: ids of before that the
-/// journal doesn't know are answered unknown, which is true, and not started.
+/// The process that used our address has ended, and the declarations that it had acknowledged are
+/// lost with it. If too few other members have answered within peerSilenceMs, the process is
+/// assumed to have been unlogged from the beginning: ids of that time that the journal doesn't
+/// contain are answered unknown, which is true, and are not started.
 OptionalRecord replacementJoinRecord(OwnershipState &state, const Schema::Member &replaced,
                                      Common::Moment now)
 {
@@ -92,7 +99,8 @@
                        [](const ShardRole &role) { return role.phase == ShardPhase::NotOurs; });
 }
 
-/// While another member is silent, this one's acknowledgements are needed to replace it.
+/// Returns a record only while every member is live: the acknowledgements of this gateway are
+/// needed to replace a silent member.
 OptionalRecord leaveRecord(const OwnershipState &state, Common::Moment now)
 {
     const bool allLive = liveMembers(state, now).size() == state.table.roster.size();
@@ -135,8 +143,8 @@
     return !onRoster(state.table, claim.owner) || peerLost(state, claim.owner, now);
 }
 
-/// A first owner waits two heartbeats, so that gateways that start together share the shards at
-/// once instead of handing them over later.
+/// The first claim of a shard waits until two heartbeat intervals after the join, so that gateways
+/// that start together divide the shards immediately instead of handing them over later.
 bool claimable(const OwnershipState &state, std::int64_t shard, Common::Moment now)
 {
     const bool first = state.table.shards[static_cast<std::size_t>(shard)].epoch == 0;
@@ -163,8 +171,9 @@
     return state.table.shards[static_cast<std::size_t>(shard)].owner == state.self.instance;
 }
 
-/// All gateways spread the orphans over the same live members in the same way, so that each claims
-/// its part; where their views differ, the log decides.
+/// All gateways distribute the orphaned shards over the same live members by the same rule, and
+/// each claims its own part. If their views of the members differ, the order of the claims in the
+/// log decides.
 OptionalRecord claimRecord(OwnershipState &state, Common::Moment now)
 {
     const std::vector<std::int64_t> orphans = orphanedShards(state, now);
@@ -229,7 +238,7 @@
     return record;
 }
 
-/// Retention drops the first claims some day; a fresh gateway then starts from this.
+/// Log retention eventually drops the first claims; a new gateway then starts from the snapshot.
 OptionalRecord snapshotRecord(const OwnershipState &state, Common::Moment now)
 {
     const bool due = state.oldestNeededWallMs != 0
@@ -278,8 +287,8 @@
                       });
 }
 
-/// A record with the same content keeps its id when it is sent again, so that readers who have it
-/// drop the repetition.
+/// A record with the same content is sent again under the same id, so that reading either copy ends
+/// the append.
 bool isRepetition(const Schema::LogRecord &sent, const Schema::LogRecord &next)
 {
     return sent.kind == next.kind && sent.kind != Schema::RecordKind::ControlSnapshot
--- a/Source/Core/Dispatch/Ownership/ControlTable.cpp
+++ b/Source/Core/Dispatch/Ownership/ControlTable.cpp
@@ -67,9 +67,10 @@
     }
 }
 
-/// A gateway that listens at the address of a member proves that the member's process is gone: it
-/// takes the seat as it is, and the number of seats and their majorities stay the same. That holds
-/// as well for a seat of the roster before, whose acknowledgement may still be needed.
+/// Replaces a member by a gateway that listens at the same address. This address proves that the
+/// member's process has ended. The number of members and the majorities stay the same. Members of
+/// the previous roster are replaced as well, because their acknowledgements may still be needed.
+/// Returns false if \a replaced is on neither roster or has another address.
 bool replaceMemberAtSameAddress(ControlTable &table, const std::string &replaced,
                                 const Schema::Member &member)
 {
@@ -120,7 +121,7 @@
     beginRosterChange(table, entry.offset);
     removeMember(table, leaver);
     if (table.roster.empty()) {
-        // The last one has finished all it had to do, and nobody is there to wait for.
+        // The last member has finished its work, and no other member is left to wait for.
         table.previousRoster.clear();
     }
     return true;
@@ -160,7 +161,8 @@
             continue;
         }
         ShardClaim &current = table.shards[static_cast<std::size_t>(given.shard)];
-        // A claim that the log put before this record wins: the epochs' bases differ.
+        // A claim that precedes this record in the log takes precedence; the bases of the epochs
+        // differ then.
         if (epochBase(given.epoch) != epochBase(current.epoch) || given.epoch <= current.epoch) {
             continue;
         }
@@ -170,7 +172,8 @@
     return valid;
 }
 
-/// What the gateways that saw the acknowledgements know would go with them.
+/// Clears the previous roster. The log has to record that the change is settled; otherwise this
+/// would be lost with the gateways that received the acknowledgements.
 bool applySettled(ControlTable &table, const Schema::LogRecord &record)
 {
     if (record.basedOn.value_or(0) / EpochStep != table.rosterOffset) {
--- a/Source/Core/Dispatch/Ownership/Handover.cpp
+++ b/Source/Core/Dispatch/Ownership/Handover.cpp
@@ -2,7 +2,8 @@
 
 #include "Dispatch/Ownership/OwnershipParts.h"
 
-/// Direct handover of shards: a chain of single holders, which needs neither log nor agreement.
+/// Direct handover of shards. Each shard passes from one single holder to the next, so a handover
+/// needs neither the log nor a majority.
 namespace Dispatch {
 
 namespace {
@@ -17,7 +18,8 @@
     return shard >= 0 && shard < state.settings.shardCount;
 }
 
-/// Gives the first of \a shards to \a receivers in turn, each up to \a target.
+/// Assigns \a shards in order to \a receivers until each of them owns \a target shards or none is
+/// left.
 std::vector<WantedHandover> distributeShards(std::vector<std::int64_t> shards,
                                              const std::map<std::string, std::int64_t> &owned,
                                              const std::vector<std::string> &receivers,
@@ -161,8 +163,9 @@
                               Common::Moment now)
 {
     HandoverResult taken;
-    // Ahead of us: the sender repeats it until our table and our journal have caught up. An intent
-    // that we lack would let a job of its start again.
+    // The sender has read more of the log. It repeats the handover until our table and our journal
+    // have caught up. Without an intent from the journal, a job that has started could be started
+    // again.
     if (!onRoster(state.table, state.self.instance) || handoverAhead(state, handover)
         || state.journalOffset < handover.journalOffset) {
         return taken;
--- a/Source/Core/Dispatch/Ownership/Heartbeats.cpp
+++ b/Source/Core/Dispatch/Ownership/Heartbeats.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// While a direct handover is not in the log yet, two tables of one version can differ: the whole
-/// table goes out every few heartbeats then.
+/// Two tables with the same version can differ while a direct handover is not in the log yet. Until
+/// then the whole table is sent with one in this many heartbeats.
 constexpr std::int64_t TableIntervalHeartbeats = 8;
-/// Four seconds of heartbeats: an older answer confirms nothing.
+/// Four seconds of heartbeats at the default interval. An answer to an older heartbeat comes too
+/// late to confirm ownership.
 constexpr std::size_t MaxTrackedPings = 8;
 
 bool hasUnrecordedHandover(const OwnershipState &state)
@@ -84,8 +85,9 @@
     }
 }
 
-/// Hearsay only adds: a declaration is withdrawn by its declarer alone, for only the declarer knows
-/// that all it started is in the log.
+/// Merges a declaration that another gateway relays. This can only add a declaration or move its
+/// beginning back. Only the declaring gateway withdraws a declaration, because only that gateway
+/// knows whether everything it started is in the log.
 void mergeRelayedNotice(OwnershipState &state, const Schema::UnloggedNotice &notice)
 {
     if (notice.instance == state.self.instance) {
@@ -97,7 +99,8 @@
     }
 }
 
-/// The time that counts is that of our heartbeat, not that at which its answer is read.
+/// Records when the answered heartbeat was sent. The time at which the answer is read is
+/// irrelevant, because the answer may have waited in a socket.
 void recordAnswer(PeerView &peer, std::int64_t heardSequence)
 {
     while (!peer.sent.empty() && peer.sent.front().sequence <= heardSequence) {
@@ -121,8 +124,8 @@
     }
 }
 
-/// An acknowledgement by someone who knows more than we do doesn't count until we know it too: it
-/// may be that our claim or our ownership is superseded, and the roster another.
+/// An acknowledgement from a peer with a newer table doesn't count until our table has caught up:
+/// our claim or our ownership may be superseded, and the roster may have changed.
 void updateAcknowledgements(const OwnershipState &state, PeerView &peer,
                             const Schema::PeerPing &ping)
 {
@@ -234,8 +237,9 @@
     return now.steadyMs - seen >= state.settings.peerSilenceMs;
 }
 
-/// Two gateways that lose each other, but not the others, go on side by side. Without the word of a
-/// third, and of the log, each would claim the other's shards again and again.
+/// A silent peer is lost only if neither a live gateway nor the log shows that it is active.
+/// Otherwise two gateways that lose just the connection between them would claim each other's
+/// shards again and again.
 bool peerLost(const OwnershipState &state, const std::string &instance, Common::Moment now)
 {
     if (!peerSilent(state, instance, now)) {
--- a/Source/Core/Dispatch/Ownership/Ownership.cpp
+++ b/Source/Core/Dispatch/Ownership/Ownership.cpp
@@ -18,15 +18,15 @@
 
 void enterPhase(ShardRole &role, ShardPhase phase, std::int64_t epoch, Common::Moment now)
 {
-    Common::invariant(epoch >= role.epoch, "a shard's epoch never goes back");
+    Common::invariant(epoch >= role.epoch, "a shard's epoch never decreases");
     role = ShardRole{};
     role.phase = phase;
     role.epoch = epoch;
     role.phaseSinceMs = now.steadyMs;
 }
 
-/// Shards that the log gives this gateway as their first owner ever: no agent can hold a task of
-/// them, so there is nothing to fence, to read or to ask.
+/// Shards that the log assigns to this gateway as their first owner. No agent can have a task of
+/// them, so there is no need to fence, to read the journal or to ask the agents.
 std::vector<std::int64_t> firstClaims(const OwnershipState &state, const Schema::LogRecord &record)
 {
     std::vector<std::int64_t> shards;
@@ -44,7 +44,8 @@
     return shards;
 }
 
-/// A snapshot bridges a gap only where all that it doesn't reflect is still read after it.
+/// A snapshot closes a gap only if it reflects every record before the end of the gap; all others
+/// have been or will be read.
 void readSnapshot(OwnershipState &state, const Schema::LogEntry &entry)
 {
     state.oldestNeededWallMs = entry.record.wallMs;
@@ -112,12 +113,13 @@
     state.entriesAfterGap.clear();
     state.gap = state.table.offset < read.oldestOffset;
     if (!state.gap) {
-        // A peer's table reflects all that was dropped.
+        // A peer's table reflects all dropped records.
         state.fromLog = state.table;
     }
 }
 
-/// As with the configuration: live gateways would have put a snapshot into the log by now.
+/// Continues at the end of a gap that nothing has closed for lostAfterMs, as the configuration
+/// store does. If other gateways were live, they would have appended a snapshot by now.
 Effects resumeAfterLoss(OwnershipState &state, Common::Moment now)
 {
     if (!state.gap || !state.readToEnd || state.table.offset != 0
--- a/Source/Core/Dispatch/Ownership/Quorum.cpp
+++ b/Source/Core/Dispatch/Ownership/Quorum.cpp
@@ -4,7 +4,7 @@
 #include "Dispatch/Ownership/OwnershipParts.h"
 #include "Dispatch/Persistence/Journal.h"
 
-/// Acknowledgements: of claims, of roster changes and of unlogged declarations.
+/// Acknowledgements of claims, roster changes and unlogged declarations.
 namespace Dispatch {
 
 namespace {
@@ -16,8 +16,9 @@
     return static_cast<std::size_t>(std::count_if(instances.begin(), instances.end(), holds));
 }
 
-/// Whether \a instance holds every declaration that we know of. A later roster's majority must,
-/// for a fence may ask none of those who acknowledged a declaration under the earlier roster.
+/// Whether \a instance knows every declaration that this gateway knows. A majority of the new
+/// roster must know them, because a fence may ask none of the gateways that acknowledged a
+/// declaration under the earlier roster.
 bool holdsOurNotices(const OwnershipState &state, const std::string &instance)
 {
     if (instance == state.self.instance) {
@@ -54,9 +55,11 @@
     return window;
 }
 
-/// Every declaration that those who acknowledged the claim hold: whoever may have started a job of
-/// the shard unlogged had a majority hold its declaration before, and every majority has one of
-/// those asked here. A declaration acknowledged later reaches a declarer who knows of the claim.
+/// Collects every declaration known to this gateway and its peers, including those that
+/// acknowledged the claim. A gateway that may have started a job of the shard unlogged had its
+/// declaration acknowledged by a majority before, and every majority contains one of the gateways
+/// that acknowledged the claim. If a declaration is acknowledged later, the declaring gateway
+/// learns of the claim with the acknowledgement.
 std::vector<Schema::UnloggedWindow> collectWindows(const OwnershipState &state, std::int64_t shard)
 {
     std::map<std::string, std::int64_t> since = state.notices;
@@ -218,8 +221,8 @@
     }
     for (Schema::UnloggedWindow &own : role.windows) {
         for (const Schema::UnloggedWindow &known : windows) {
-            // An earlier successor has fenced that owner: what it declared ended then. An owner
-            // that gets the shard back declares anew, with another time.
+            // An earlier successor has fenced that owner, which ended the declared period. An owner
+            // that gets the shard back makes a new declaration with another time.
             if (known.shard == shard && known.instance == own.instance
                 && known.sinceMs == own.sinceMs) {
                 own.untilMs = std::min(own.untilMs, known.untilMs);
--- a/Source/Core/Dispatch/Ownership/Transfer.cpp
+++ b/Source/Core/Dispatch/Ownership/Transfer.cpp
@@ -22,8 +22,8 @@
     }
 }
 
-/// Takes the job out of every table of this gateway. Its tasks at agents are reported to the new
-/// owner, so that their slots are released here.
+/// Removes the job from every table of this gateway. Agents report its tasks to the new owner, so
+/// their slots are released here.
 void releaseOwnedJob(GatewayState &state, JobEntry &job, Common::Moment now)
 {
     holdRequestsAgain(state, job.waiters);
@@ -57,7 +57,7 @@
     return frame;
 }
 
-/// One message for each shard keeps each message small.
+/// Sends one message per shard to keep messages small.
 Effects offerShard(GatewayState &state, std::int64_t shard, const std::string &successor,
                    Common::Moment now, Common::Random &random)
 {
@@ -133,7 +133,7 @@
             }
         }
     }
-    // A start that the predecessor sent may never have arrived.
+    // Starts that the predecessor sent may never have arrived.
     for (const std::string &agent : agents) {
         append(effects, askAfterReconnection(state, agent));
     }
--- a/Source/Core/Dispatch/Ownership/Transfer.h
+++ b/Source/Core/Dispatch/Ownership/Transfer.h
@@ -2,17 +2,19 @@
 
 #include "Dispatch/GatewayState.h"
 
-/// Shards that change hands while both gateways live: for balance, at a graceful stop, and those
-/// that another gateway took because this one had been silent.
+/// Transfers of shards between live gateways: to balance the shards, at a graceful stop, and when
+/// another gateway took over shards because this one had been silent.
 namespace Dispatch {
 
-/// Offers shards that another gateway should have, and repeats offers until they are accepted.
+/// Offers shards that another gateway should own, and repeats offers until they are accepted or
+/// superseded.
 Effects transferTick(GatewayState &state, Common::Moment now, Common::Random &random);
 Effects handleHandover(GatewayState &state, const Schema::Handover &handover, Common::Moment now);
 Effects handoverAccepted(GatewayState &state, const Schema::HandoverAccepted &accepted);
 
-/// Forgets the jobs of shards that have another owner by now; requests that waited for them are
-/// asked again there.
+/// Removes the jobs of shards that are neither served here nor waiting for reports
+/// (ShardPhase::NeedsReports), for example because they have another owner. Requests that waited
+/// for these jobs are held, to be sent to the new owner.
 void dropLostShards(GatewayState &state, Common::Moment now);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Persistence/IntentIndex.h
+++ b/Source/Core/Dispatch/Persistence/IntentIndex.h
@@ -10,9 +10,9 @@
 
 #include "Schema/Schema.h"
 
-/// Every intent in the journal that is still within the dedup window, by 128-bit hash of the job's
-/// id: what a successor knows of its predecessor's jobs. Ids are not kept whole, so that the memory
-/// for an id is small and does not depend on its length.
+/// Index of the intents in the journal that are still within the dedup window, by a 128-bit hash of
+/// the job's id. A new owner looks up the jobs of its predecessor here. The ids themselves are not
+/// stored, so that the memory for an id is small and does not depend on its length.
 namespace Dispatch {
 
 struct ContentHash
@@ -42,18 +42,18 @@
 struct IntentIndex
 {
     std::unordered_map<ContentHash, JournaledIntent, ContentHashHasher> intents;
-    /// Ids by the time from which they can be forgotten, in steps of some seconds.
+    /// Hashed ids by the time from which they can be removed, in steps of 5 s.
     std::map<std::int64_t, std::vector<ContentHash>> byExpiry;
 };
 
-/// Bytes of heap for one id, as measured with a million of them.
+/// Heap bytes per id in an index of a million ids.
 constexpr std::size_t IndexBytesPerIntent = 118;
 
-/// Does nothing for a job that is known, or whose window has passed.
+/// Adds an intent. Does nothing if the job is already indexed or its dedup window has passed.
 void indexIntent(IntentIndex &index, const Schema::Intent &intent, std::int64_t dedupWindowMs,
                  std::int64_t nowWallMs);
 std::optional<JournaledIntent> lookUpIntent(const IntentIndex &index, const std::string &job);
-/// Whether a resubmission with \a digest has the content of the first.
+/// Whether a resubmission with \a digest has the same content as the first submission.
 bool sameContent(const JournaledIntent &intent, const std::string &digest);
 void expireIntents(IntentIndex &index, std::int64_t nowWallMs);
 
--- a/Source/Core/Dispatch/Persistence/JobAnswers.h
+++ b/Source/Core/Dispatch/Persistence/JobAnswers.h
@@ -7,17 +7,18 @@
 
 #include "Dispatch/Persistence/JobEntry.h"
 
-/// What a caller is told of a job: its outcome and, truthfully, whether any of it may have run.
+/// Answers to callers about a job: its outcome, and reliably whether any of its tasks may have run.
 namespace Dispatch {
 
-/// The answer if the job's tasks decide it: all succeeded, one failed, or one lost and none open.
+/// The final answer if the job's tasks determine it: all succeeded, one failed, or one is lost and
+/// none is in TaskStage::Sent.
 std::optional<Schema::JobAnswer> decidedAnswer(const JobEntry &job);
-/// The answer when the job is given up for \a reason, from what is known now.
+/// The final answer for a job that ends early for \a reason, from the current stages of its tasks.
 Schema::JobAnswer abortedAnswer(const JobEntry &job, Schema::Reason reason,
                                 std::string detail = {});
-/// What a job's state is while it is running.
+/// The answer for a job that has not ended.
 Schema::JobAnswer pendingAnswer(const JobEntry &job);
-/// A refusal that started nothing.
+/// The answer for a submission that is refused before any of its tasks was started.
 Schema::JobAnswer refusal(const std::string &id, std::size_t taskCount, Schema::Reason reason,
                           std::string detail, std::int64_t retryAfterMs = 0);
 
--- a/Source/Core/Dispatch/Persistence/JobEntry.cpp
+++ b/Source/Core/Dispatch/Persistence/JobEntry.cpp
@@ -23,7 +23,7 @@
 TaskEntry &taskAt(JobEntry &job, std::int64_t index)
 {
     Common::invariant(index >= 0 && index < static_cast<std::int64_t>(job.tasks.size()),
-                      "a task index lies within its job", job.id);
+                      "a task index is in the range of its job", job.id);
     return job.tasks[static_cast<std::size_t>(index)];
 }
 
@@ -103,10 +103,9 @@
                       std::int64_t epoch)
 {
     TaskEntry &task = taskAt(job, index);
-    Common::invariant(task.stage == TaskStage::Waiting,
-                      "a task is sent only while it has not started", job.id);
-    Common::invariant(job.startable, "no task is sent before its job's intent", job.id);
-    Common::invariant(!job.answer, "no task is sent after its job's answer", job.id);
+    Common::invariant(task.stage == TaskStage::Waiting, "only a waiting task is sent", job.id);
+    Common::invariant(job.startable, "no task is sent before its job is startable", job.id);
+    Common::invariant(!job.answer, "no task is sent after its job has ended", job.id);
     task.stage = TaskStage::Sent;
     task.agent = agent;
     task.attempt = task.epoch == epoch ? task.attempt + 1 : 1;
@@ -130,7 +129,8 @@
     }
     TaskEntry &task = taskAt(job, report.index);
     if (report.phase == TaskPhase::NotStarted) {
-        // A late refusal of an earlier start may cross a newer start to the same agent.
+        // A late refusal of an earlier start may arrive after a newer start has been sent to the
+        // same agent.
         const bool coversLastStart =
                 std::tie(report.epoch, report.attempt) >= std::tie(task.epoch, task.attempt);
         const bool answersLastStart = task.stage == TaskStage::Sent && task.agent == agent;
--- a/Source/Core/Dispatch/Persistence/JobEntry.h
+++ b/Source/Core/Dispatch/Persistence/JobEntry.h
@@ -8,18 +8,18 @@
 #include "Common/Common.h"
 #include "Schema/Schema.h"
 
-/// What the owner of a job knows of it and of each of its tasks.
+/// The owner's record of a job and of each of its tasks.
 namespace Dispatch {
 
-/// How far a task is, as far as its owner can know.
+/// Progress of a task as known to the owner of its job.
 enum class TaskStage {
-    /// Not sent to any agent, or proved not to have started where it was sent.
+    /// Not sent to any agent, or proved not to have started at the agent that it was sent to.
     Waiting,
     /// Sent to an agent: it may have started.
     Sent,
     Succeeded,
     Failed,
-    /// It may have run and its outcome will not be learned.
+    /// It may have run, and no report of its outcome is expected any more.
     Lost,
     /// Dropped before any start.
     Dropped,
@@ -31,7 +31,8 @@
     TaskStage stage = TaskStage::Waiting;
     /// Instance of the agent it was last sent to.
     std::string agent;
-    /// Of the last start sent: a promise of non-start counts only when it covers this start.
+    /// Epoch and attempt of the last start sent. A report that the task has not started counts only
+    /// if it covers this start.
     std::int64_t epoch = 0;
     std::int64_t attempt = 0;
     std::string result;
@@ -42,30 +43,31 @@
     std::string id;
     /// Empty while the content is not known.
     std::string digest;
-    /// Absent while the job is known only from the journal or from agents' reports.
+    /// Absent while the job is known only from the journal or from agents' reports, and after it
+    /// has ended.
     std::optional<Schema::SubmitJob> submit;
-    /// Kept for operators' questions when the content is gone.
+    /// Kept for operators' queries after the content has been removed.
     std::string team;
     std::string caller;
     std::string service;
     std::int64_t shard = 0;
     std::int64_t firstSubmittedMs = 0;
     std::int64_t deadlineMs = 0;
-    /// False until the intent is durable, or starts without it are allowed.
+    /// True once the intent is durable or starts without a durable intent are allowed.
     bool startable = false;
     bool unlogged = false;
     std::vector<TaskEntry> tasks;
-    /// Requests to be answered when the job ends, and those to be answered once it is accepted.
+    /// Requests to be answered when the job ends (waiters) or once it is accepted (acceptWaiters).
     std::vector<std::string> waiters;
     std::vector<std::string> acceptWaiters;
-    /// Set once, when the job ends; every later question gets the same answer.
+    /// Set once, when the job ends; every later request gets the same answer.
     std::optional<Schema::JobAnswer> answer;
 };
 
-/// The job takes over what its caller has submitted.
+/// Copies the submission into the job.
 void setContent(JobEntry &job, const Schema::SubmitJob &submit);
 
-/// How many tasks of a job are at each stage.
+/// Number of tasks of a job at each stage.
 struct StageCounts
 {
     std::int64_t waiting = 0;
@@ -82,22 +84,23 @@
 };
 StageCounts countStages(const JobEntry &job);
 
-/// A stage as messages between processes put it, and back.
+/// Convert between a stage and its representation in messages between processes.
 Schema::TaskPhase phaseOf(TaskStage stage);
 TaskStage stageOf(Schema::TaskPhase phase);
 
-/// The task is handed to \a agent under \a epoch and may start there from now on; returns the
-/// attempt. Breaks an invariant when the task may already have started elsewhere.
+/// Records that the task is sent to \a agent under \a epoch and may start there from now on.
+/// Returns the attempt, which is counted for each epoch. Violates an invariant if the task may
+/// already have started elsewhere.
 std::int64_t markSent(JobEntry &job, std::int64_t index, const std::string &agent,
                       std::int64_t epoch);
-/// The agent promised that it has not started the task and will not.
+/// Records that a task that was sent has not started and will not start from that message.
 void markNotStarted(JobEntry &job, std::int64_t index);
 
-/// What a report changed.
+/// Change that a report made to a task.
 enum class ReportEffect { Nothing, Running, Ended, Lost, NotStarted };
-/// Takes over what an agent reports of one task.
+/// Applies what an agent reports about one task.
 ReportEffect applyReport(JobEntry &job, const Schema::TaskState &report, const std::string &agent);
-/// No outcome of the task will be learned any more.
+/// Marks a task that has not ended as lost: no report of its outcome is expected any more.
 void markLost(JobEntry &job, std::int64_t index);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Persistence/JobSnapshots.cpp
+++ b/Source/Core/Dispatch/Persistence/JobSnapshots.cpp
@@ -48,8 +48,9 @@
     job.firstSubmittedMs = snapshot.answer.firstSubmittedMs.value_or(0);
     job.deadlineMs = job.submit ? deadlineOf(state, *job.submit)
                                 : job.firstSubmittedMs + state.settings.maxDeadlineMs;
-    // The predecessor may have handed the job over before its intent was durable; its successor
-    // journals it again, or the next successor would not know of it.
+    // The predecessor may have handed the job over before its intent was durable. The successor
+    // writes the intent to the journal again; otherwise the next successor would not know of the
+    // job.
     job.startable = !job.submit;
     if (snapshot.answer.outcome != Schema::JobOutcome::Pending) {
         job.answer = snapshot.answer;
--- a/Source/Core/Dispatch/Persistence/JobSnapshots.h
+++ b/Source/Core/Dispatch/Persistence/JobSnapshots.h
@@ -2,11 +2,11 @@
 
 #include "Dispatch/Persistence/Ledger.h"
 
-/// Jobs on their way from one owner of a shard to the next.
+/// Snapshots of jobs, which a handover carries from one owner of a shard to the next.
 namespace Dispatch {
 
 Schema::JobSnapshot snapshotOf(const JobEntry &job);
-/// A predecessor's job; null where it is known already.
+/// Adds a predecessor's job. Returns null if the job is already known.
 JobEntry *importJob(LedgerState &state, const Schema::JobSnapshot &snapshot);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Persistence/Journal.cpp
+++ b/Source/Core/Dispatch/Persistence/Journal.cpp
@@ -72,9 +72,10 @@
     return oldest;
 }
 
-/// A declaration covers the submission times of all that it lets start: a successor answers just
-/// the ids of those times with unknown. A resubmission may be older than the outage, so the
-/// declaration starts at the oldest job held, not at the time it is made.
+/// A declaration covers the submission times of all jobs that it allows to start, because a
+/// successor answers unknown only for the ids of those times. A resubmission may be older than the
+/// outage, so the declaration begins at the oldest submission held instead of the time at which it
+/// is made.
 Effects declareUnlogged(JournalState &state, Common::Moment now)
 {
     if (state.held.empty()) {
@@ -118,7 +119,7 @@
     for (const Schema::Intent &intent : record.intents.value_or(std::vector<Schema::Intent>{})) {
         indexIntent(state.index, intent, state.settings.dedupWindowMs, now.wallMs);
     }
-    // The answer to the append was lost, but the log has it.
+    // The answer to the append was lost, but the record is in the log.
     if (state.batch && state.batch->record.id == record.id) {
         batchDurable(state, now);
     }
@@ -203,8 +204,8 @@
         batchDurable(state, now);
         return {};
     }
-    // Sent again whole and under the same record id: if it was written after all, readers see the
-    // same intents twice, which is one.
+    // The whole batch is sent again under the same record id. If it was written after all, readers
+    // see the same intents twice, which has no further effect.
     state.batch->inFlight = false;
     state.batch->retryAtMs = now.steadyMs + state.settings.retryMs;
     return {CountReason{"journal_append_retries", Schema::Reason::LogUnavailable}};
--- a/Source/Core/Dispatch/Persistence/Journal.h
+++ b/Source/Core/Dispatch/Persistence/Journal.h
@@ -13,12 +13,13 @@
 #include "Dispatch/Persistence/IntentIndex.h"
 #include "Dispatch/Persistence/LogEvents.h"
 
-/// The owner's side of the journal: intents go to the log, many to one append and one append in
-/// flight, before a job's first start. While the log is away an owner may declare itself unlogged
-/// and go on, keeping its intents in order until they can be written.
+/// Writes intents to the journal before the first start of their jobs. One append carries many
+/// intents, and one append is in flight at a time. While the log is unavailable, an owner may
+/// declare itself unlogged and continue to start jobs; it holds their intents in order until they
+/// can be written.
 namespace Dispatch {
 
-/// How far a submission's time may lie in the future of this machine's clock.
+/// How far the time of a submission may be ahead of this machine's clock.
 constexpr std::int64_t MaxSubmissionSkewMs = 2000;
 
 struct JournalSettings
@@ -30,7 +31,7 @@
     std::size_t maxBatchIntents = 500;
 };
 
-/// The append under way, kept until it is known to be durable.
+/// The append in progress, kept until it is known to be durable.
 struct JournalBatch
 {
     std::uint64_t batch = 0;
@@ -41,7 +42,7 @@
     std::int64_t retryAtMs = 0;
 };
 
-/// A job whose intent is not durable yet.
+/// An intent that is not durable yet.
 struct HeldIntent
 {
     Schema::Intent intent;
@@ -52,29 +53,30 @@
 {
     JournalSettings settings;
     std::string self;
-    /// Held in the order in which they were added; those in the batch are at the front.
+    /// Held intents in the order in which they were added; those in the batch are at the front.
     std::deque<HeldIntent> held;
     std::unordered_map<std::string, std::int64_t> heldSubmittedMs;
     std::optional<JournalBatch> batch;
-    /// shards_taken records that go out before further intents.
+    /// shards_taken records that are appended before further intents.
     std::deque<Schema::LogRecord> pendingMarkers;
     std::vector<std::string> newlyDurable;
-    /// shards_taken records of ours that were read back.
+    /// Ids of our shards_taken records that have been read back.
     std::vector<std::string> readMarkers;
     std::int64_t lastAppendMs = 0;
     std::int64_t lastDurableMs = 0;
-    /// 0, or the declaration: jobs first submitted at or after it may start without a durable
-    /// intent once a majority of the roster has acknowledged it.
+    /// The declaration, or 0 if there is none: jobs first submitted at or after this time may start
+    /// without a durable intent once a majority of the roster has acknowledged it.
     std::int64_t unloggedSinceMs = 0;
-    /// The declaration a majority has acknowledged; 0 for none.
+    /// The declaration that a majority has acknowledged; 0 if there is none.
     std::int64_t acknowledgedSinceMs = 0;
-    /// Never declared twice, so that an old acknowledgement can't pass for a new one.
+    /// The last declaration. No time is declared twice, so that an old acknowledgement can't be
+    /// taken for a new one.
     std::int64_t lastDeclaredMs = 0;
-    /// The log answers again: nothing more starts unlogged, and the declaration is withdrawn once
-    /// the first unloggedHeld intents, which may have started so, are durable.
+    /// The log is available again: no further job starts unlogged, and the declaration is withdrawn
+    /// once the first unloggedHeld intents, whose jobs may have started unlogged, are durable.
     bool resuming = false;
     std::size_t unloggedHeld = 0;
-    /// What has been read of the stream.
+    /// Offset up to which the stream has been read, and whether its end was reached once.
     std::int64_t readOffset = 0;
     bool readOnce = false;
     IntentIndex index;
@@ -86,32 +88,35 @@
 
 JournalState makeJournal(JournalSettings settings, std::string self);
 
-/// Holds \a intent until it is durable; the same job twice is one intent.
+/// Holds \a intent until it is durable. Does nothing if an intent of the same job is already held.
 void addIntent(JournalState &state, Schema::Intent intent, Common::Moment now);
-/// Durable also for a job never added here: its intent is known from the log.
+/// Durable also for a job that was never added here: its intent is known from the log.
 IntentState intentState(const JournalState &state, const std::string &job);
 /// Jobs whose intents became durable since the last call.
 std::vector<std::string> takeNewlyDurable(JournalState &state);
 
-/// Appends what waits, declares and withdraws the unlogged mode, and forgets expired ids.
+/// Appends waiting records, declares the unlogged mode if needed, and removes expired ids and
+/// windows.
 Effects journalTick(JournalState &state, std::uint64_t &nextBatch, Common::Moment now,
                     Common::Random &random);
 Effects handleJournalAppendResult(JournalState &state, std::uint64_t batch, AppendStatus status,
                                   Common::Moment now);
 Effects handleJournalRead(JournalState &state, const LogRead &read, Common::Moment now);
 
-/// A declaration that stands is made anew, to be acknowledged anew: this gateway has gained a
-/// shard, for which an earlier successor may have recorded the old declaration as ended.
+/// Replaces a current declaration by a new one, which has to be acknowledged again. Needed when
+/// this gateway has gained a shard, because an earlier successor may have recorded the old
+/// declaration as ended for that shard.
 void redeclare(JournalState &state);
 
-/// Appends a shards_taken record; its id turns up in readMarkers once everything before it was
-/// read.
+/// Queues a shards_taken record and returns its id. The id is added to readMarkers once everything
+/// before the record has been read.
 std::string appendShardsTakenMarker(JournalState &state, std::vector<Schema::ShardOwner> shards,
                                     std::vector<Schema::UnloggedWindow> windows, Common::Moment now,
                                     Common::Random &random);
 std::vector<std::string> takeReadMarkers(JournalState &state);
 
-/// What the log says of a job: accepted by some owner, and maybe started.
+/// The intent of a job if the log contains one: some owner accepted the job and may have started
+/// it.
 std::optional<JournaledIntent> findIntent(const JournalState &state, const std::string &job);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Persistence/Ledger.cpp
+++ b/Source/Core/Dispatch/Persistence/Ledger.cpp
@@ -39,7 +39,7 @@
     }
     if (first + state.settings.dedupWindowMs <= now.wallMs) {
         return Common::failure(Reason::SubmissionTooOld,
-                               "first submitted longer ago than ids are remembered");
+                               "the first submission is older than the dedup window");
     }
     if (deadlineOf(state, submit) <= now.wallMs) {
         return Common::failure(Reason::DeadlinePassed, "the deadline has passed");
@@ -71,8 +71,8 @@
         return SubmissionStatus::Conflict;
     }
     if (job->answer) {
-        // A cancelled job stays cancelled: a resubmission that crossed the cancellation would
-        // otherwise revive it.
+        // A cancelled job stays cancelled. Otherwise a resubmission that crossed the cancellation
+        // would start it again.
         const bool mayTryAgain = job->answer->outcome == JobOutcome::Refused
                                  && job->answer->reason != Reason::Cancelled;
         return mayTryAgain ? SubmissionStatus::Refused : SubmissionStatus::Ended;
@@ -100,7 +100,8 @@
     job.firstSubmittedMs = submit.firstSubmittedMs.value_or(0);
     job.deadlineMs = deadlineOf(state, submit);
     job.tasks.resize(submit.tasks.size());
-    Common::invariant(state.jobs.count(job.id) == 0, "a known id is never added again", job.id);
+    Common::invariant(state.jobs.count(job.id) == 0, "an id is added only if it is unknown",
+                      job.id);
     return insertJob(state, std::move(job));
 }
 
@@ -145,9 +146,9 @@
 {
     Common::invariant(!job.answer, "a job ends once", job.id);
     Common::invariant(answer.results.has_value() == (answer.outcome == JobOutcome::Completed),
-                      "an answer is whole or has no results", job.id);
+                      "an answer has results if and only if its job completed", job.id);
     Common::invariant(!answer.notRun || countStages(job).started() == 0,
-                      "not run is said only when no task may have started", job.id);
+                      "notRun is set only if no task may have started", job.id);
     eraseFrom(state.deadlines, job.deadlineMs, job.id);
     for (TaskEntry &task : job.tasks) {
         if (task.stage == TaskStage::Waiting) {
--- a/Source/Core/Dispatch/Persistence/Ledger.h
+++ b/Source/Core/Dispatch/Persistence/Ledger.h
@@ -10,9 +10,10 @@
 #include "Dispatch/Persistence/JobEntry.h"
 #include "Schema/Schema.h"
 
-/// The owner's memory of jobs: what was submitted, how far each task is, and what callers were
-/// told. It answers the question on which "at most once" rests: has this id been seen, and with the
-/// same content? It knows nothing of queues, agents' load or the log.
+/// The owner's table of jobs: submissions, the progress of each task, and the answers given to
+/// callers. The guarantee that a task runs at most once depends on it: it determines whether an id
+/// has been seen before, and with the same content. It is independent of queues, the load of agents
+/// and the log.
 namespace Dispatch {
 
 struct LedgerSettings
@@ -21,7 +22,7 @@
     std::int64_t dedupWindowMs = 600'000;
     std::int64_t defaultDeadlineMs = 30'000;
     std::int64_t maxDeadlineMs = 300'000;
-    /// How far a first-submission time may lie ahead of this gateway's clock.
+    /// How far the time of a first submission may be ahead of this gateway's clock.
     std::int64_t clockSkewMs = 5'000;
 };
 
@@ -37,35 +38,37 @@
 
 std::int64_t shardOf(const LedgerState &state, const std::string &job);
 
-/// What the ledger says to a submission.
+/// Result of looking up a submission in the ledger.
 enum class SubmissionStatus {
     New,
     Pending,
     Ended,
     Conflict,
-    /// Known only from the journal or from reports; adoptSubmission() may give it its content.
+    /// Known only from the journal or from reports; adoptSubmission() can add its content.
     Recovered,
-    /// Refused before any start, and not by its caller's own wish: it may be submitted again.
+    /// Refused before any start, and not because its caller cancelled it: it may be submitted
+    /// again.
     Refused
 };
 
-/// Refuses submissions that lie outside the dedup window or past their deadline.
+/// Fails for submissions that are outside the dedup window, too far ahead of this gateway's clock,
+/// or past their deadline.
 Common::Outcome<void> checkTimes(const LedgerState &state, const Schema::SubmitJob &submit,
                                  Common::Moment now);
 
-/// Looks the id up.
+/// Looks up the id of a submission and compares the content.
 SubmissionStatus lookUpSubmission(const LedgerState &state, const Schema::SubmitJob &submit);
 
-/// Hash of what makes a submission the same submission: all but the deadline.
+/// Hash of the content that identifies a submission: everything but the deadline.
 std::string submissionDigest(const Schema::SubmitJob &submit);
 
 std::int64_t deadlineOf(const LedgerState &state, const Schema::SubmitJob &submit);
 
-/// Adds a job under an id that is not known, or in place of what was known of it.
+/// Adds a job, or replaces the one with the same id.
 JobEntry &insertJob(LedgerState &state, JobEntry job);
 JobEntry &addJob(LedgerState &state, const Schema::SubmitJob &submit);
-/// A job known only from the journal or an agent's report: each of its tasks may have started. Its
-/// content is not known until a resubmission brings it.
+/// Adds a job that is known only from the journal or an agent's report. Each of its tasks may have
+/// started. Its content is unknown until a resubmission supplies it.
 JobEntry &addRecoveredJob(LedgerState &state, const std::string &id, std::int64_t taskCount,
                           std::int64_t firstSubmittedMs);
 void adoptSubmission(LedgerState &state, JobEntry &job, const Schema::SubmitJob &submit);
@@ -73,16 +76,18 @@
 JobEntry *findJob(LedgerState &state, const std::string &job);
 const JobEntry *findJob(const LedgerState &state, const std::string &job);
 
-/// Ends the job: waiting tasks are dropped and all waiters are returned, each owed \a answer.
+/// Ends the job and drops its waiting tasks. Returns all waiting requests; the caller has to send
+/// \a answer to each.
 std::vector<std::string> endJob(LedgerState &state, JobEntry &job, Schema::JobAnswer answer);
 
-/// Jobs not ended whose deadline has passed.
+/// Jobs that have not ended and whose deadline has passed.
 std::vector<std::string> pastDeadline(const LedgerState &state, Common::Moment now);
-/// Forgets ended jobs whose dedup window is over.
+/// Removes the jobs whose dedup window has passed. Returns the number of jobs removed.
 std::size_t removeExpiredJobs(LedgerState &state, Common::Moment now);
 
 std::vector<std::string> jobsOfShard(const LedgerState &state, std::int64_t shard);
-/// Takes the job out: its shard has another owner. Its waiters must have been dealt with.
+/// Removes the job, because its shard has another owner or the job was not admitted. Its waiting
+/// requests must have been handled before.
 void removeJob(LedgerState &state, const std::string &job);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Persistence/LogEvents.h
+++ b/Source/Core/Dispatch/Persistence/LogEvents.h
@@ -5,21 +5,21 @@
 
 #include "Schema/Schema.h"
 
-/// What comes back from the platform's log, as decisions see it.
+/// Results of appends to and reads from the platform's log, in the form used by the decision code.
 namespace Dispatch {
 
-/// How an append ended. Unknown means that the records may have been written.
+/// Result of an append. Unknown means that the records may have been written.
 enum class AppendStatus { Durable, Unknown, Refused, Unavailable };
 
-/// One delivery of a stream, in log order.
+/// Result of one read of a stream, in log order.
 struct LogRead
 {
     std::vector<Schema::LogEntry> entries;
-    /// Offset from which the next read goes on.
+    /// Offset at which the next read continues.
     std::int64_t nextOffset = 0;
-    /// True when nothing more was there at the time of the read.
+    /// True if the stream had no further records at the time of the read.
     bool atEnd = false;
-    /// Above the offset asked for when retention has dropped records.
+    /// Oldest offset in the stream; above the requested offset if retention has dropped records.
     std::int64_t oldestOffset = 0;
 };
 
--- a/Source/Core/Dispatch/Persistence/LogRecords.h
+++ b/Source/Core/Dispatch/Persistence/LogRecords.h
@@ -7,8 +7,8 @@
 
 namespace Dispatch {
 
-/// A record of \a kind that \a instance writes, under an id of its own: a record that was appended
-/// twice, because the answer to the first attempt was lost, is known by it.
+/// Creates a record of \a kind, written by \a instance, with a unique id. The id identifies a
+/// record that was appended twice because the answer to the first attempt was lost.
 Schema::LogRecord makeRecord(const std::string &instance, Schema::RecordKind kind,
                              Common::Moment now, Common::Random &random);
 
--- a/Source/Core/Dispatch/Persistence/Recovery.cpp
+++ b/Source/Core/Dispatch/Persistence/Recovery.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-/// How long a takeover waits for agents and gateways before it serves without their word. It covers
-/// a reconnection of a live agent; each of its tasks that stays unknown is answered so.
+/// A takeover waits this many times agentSilenceMs for the answers of agents and gateways before it
+/// serves the shards without them. This covers a reconnection of a live agent. Each task that is
+/// still unknown then is answered unknown.
 constexpr std::int64_t ReportWaitFactor = 2;
-/// An agent that one gateway lost may have been sent a task by another a little later, and clocks
-/// of callers differ.
+/// Allows for an agent that one gateway lost and another gateway sent a task to a little later, and
+/// for differences between the clocks of callers.
 constexpr std::int64_t ClockMarginMs = 5'000;
 
 std::vector<Schema::ShardOwner> ownEpochs(const GatewayState &state,
@@ -133,7 +134,8 @@
                             takeover.agentsKnown.begin(), takeover.agentsKnown.end());
 }
 
-/// Settles the tasks that nobody has told of: not started where that is proved, lost elsewhere.
+/// Resolves the tasks that no agent has reported: as not started if the job was first submitted at
+/// or after \a provenSinceMs, as lost otherwise.
 Effects resolveUnreportedTasks(GatewayState &state, std::int64_t shard, std::int64_t provenSinceMs)
 {
     Effects effects;
