--- a/Source/Core/Dispatch/Ownership/ControlAppend.cpp
+++ b/Source/Core/Dispatch/Ownership/ControlAppend.cpp
@@ -120,9 +120,10 @@
         return std::nullopt;
     }
     for (const auto &[instance, peer] : state.peers) {
-        const std::int64_t seen = std::max(peer.lastReceivedMs, peer.firstTrackedMs);
+        const std::int64_t lastActivityMs = std::max(peer.lastReceivedMs, peer.firstTrackedMs);
         if (onRoster(state.table, instance)
-            && now.steadyMs - seen >= MemberRemovalSilences * state.settings.peerSilenceMs) {
+            && now.steadyMs - lastActivityMs
+                       >= MemberRemovalSilences * state.settings.peerSilenceMs) {
             Schema::LogRecord record = rosterRecord(state, Schema::RecordKind::Leave);
             record.replaces = instance;
             return record;
--- a/Source/Core/Dispatch/Ownership/Handover.cpp
+++ b/Source/Core/Dispatch/Ownership/Handover.cpp
@@ -162,27 +162,27 @@
 HandoverResult acceptHandover(OwnershipState &state, const Schema::Handover &handover,
                               Common::Moment now)
 {
-    HandoverResult taken;
+    HandoverResult result;
     // The sender has read more of the log. It repeats the handover until our table and our journal
     // have caught up. Without an intent from the journal, a job that has started could be started
     // again.
     if (!onRoster(state.table, state.self.instance) || handoverAhead(state, handover)
         || state.journalOffset < handover.journalOffset) {
-        return taken;
+        return result;
     }
-    taken.accepted = true;
+    result.accepted = true;
     for (const Schema::ShardOwner &given : handover.shards) {
         if (knownShard(state, given.shard) && takeOverShard(state, given, now)) {
-            taken.shards.push_back(given.shard);
+            result.shards.push_back(given.shard);
         }
     }
     for (const Schema::UnloggedWindow &window :
          handover.unloggedWindows.value_or(std::vector<Schema::UnloggedWindow>{})) {
-        if (std::count(taken.shards.begin(), taken.shards.end(), window.shard) != 0) {
+        if (std::count(result.shards.begin(), result.shards.end(), window.shard) != 0) {
             roleOf(state, window.shard).windows.push_back(window);
         }
     }
-    return taken;
+    return result;
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Ownership/Heartbeats.cpp
+++ b/Source/Core/Dispatch/Ownership/Heartbeats.cpp
@@ -163,11 +163,11 @@
 {
     const std::vector<std::string> previous = previousInstances(state.table);
     for (auto peer = state.peers.begin(); peer != state.peers.end();) {
-        const std::int64_t seen =
+        const std::int64_t lastActivityMs =
                 std::max(peer->second.lastReceivedMs, peer->second.firstTrackedMs);
         const bool needed = onRoster(state.table, peer->first)
                             || std::count(previous.begin(), previous.end(), peer->first) != 0;
-        const bool gone = !needed && now.steadyMs - seen >= state.settings.peerSilenceMs;
+        const bool gone = !needed && now.steadyMs - lastActivityMs >= state.settings.peerSilenceMs;
         peer = gone ? state.peers.erase(peer) : std::next(peer);
     }
 }
@@ -233,8 +233,9 @@
     if (peer == state.peers.end()) {
         return false;
     }
-    const std::int64_t seen = std::max(peer->second.lastReceivedMs, peer->second.firstTrackedMs);
-    return now.steadyMs - seen >= state.settings.peerSilenceMs;
+    const std::int64_t lastActivityMs =
+            std::max(peer->second.lastReceivedMs, peer->second.firstTrackedMs);
+    return now.steadyMs - lastActivityMs >= state.settings.peerSilenceMs;
 }
 
 /// A silent peer is lost only if neither a live gateway nor the log shows that it is active.
--- a/Source/Core/Dispatch/Ownership/Transfer.cpp
+++ b/Source/Core/Dispatch/Ownership/Transfer.cpp
@@ -110,12 +110,12 @@
 
 Effects handleHandover(GatewayState &state, const Schema::Handover &handover, Common::Moment now)
 {
-    const HandoverResult taken = takeHandover(state.site, handover, now);
+    const HandoverResult result = takeHandover(state.site, handover, now);
     Effects effects;
     std::set<std::string> agents;
     for (const Schema::JobSnapshot &snapshot : handover.jobs) {
         const std::int64_t shard = shardOf(state.ledger, snapshot.id);
-        if (std::find(taken.shards.begin(), taken.shards.end(), shard) == taken.shards.end()) {
+        if (std::find(result.shards.begin(), result.shards.end(), shard) == result.shards.end()) {
             continue;
         }
         JobEntry *job = importJob(state.ledger, snapshot);
@@ -137,7 +137,7 @@
     for (const std::string &agent : agents) {
         append(effects, askAfterReconnection(state, agent));
     }
-    if (taken.accepted) {
+    if (result.accepted) {
         Schema::Frame frame = frameOf(Schema::FrameType::HandoverAccepted);
         frame.handoverAccepted.emplace();
         frame.handoverAccepted->requestId = handover.requestId;
