--- a/Source/Core/Dispatch/Persistence/JobSnapshots.cpp
+++ b/Source/Core/Dispatch/Persistence/JobSnapshots.cpp
@@ -42,14 +42,15 @@
     job.id = snapshot.id;
     job.digest = snapshot.digest;
     if (snapshot.submit) {
-        takeContent(job, *snapshot.submit);
+        setContent(job, *snapshot.submit);
     }
     job.shard = shardOf(state, job.id);
     job.firstSubmittedMs = snapshot.answer.firstSubmittedMs.value_or(0);
     job.deadlineMs = job.submit ? deadlineOf(state, *job.submit)
                                 : job.firstSubmittedMs + state.settings.maxDeadlineMs;
-    // The predecessor may have handed the job over before its intent was durable; its successor
-    // journals it again, or the next successor would not know of it.
+    // The predecessor may have handed the job over before its intent was durable. The successor
+    // writes the intent to the journal again; otherwise the next successor would not know of the
+    // job.
     job.startable = !job.submit;
     if (snapshot.answer.outcome != Schema::JobOutcome::Pending) {
         job.answer = snapshot.answer;
