--- a/Source/Core/Gateway/GatewayCallers.cpp
+++ b/Source/Core/Gateway/GatewayCallers.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 GatewayCallers::GatewayCallers(GatewayControl &control, ControlMailbox &mailbox,
-                               CarryOutDispatch carryOut)
+                               DispatchEffectHandler carryOut)
     : control(control)
     , mailbox(mailbox)
     , carryOut(std::move(carryOut))
@@ -39,7 +39,7 @@
                                                     {{"reason", Schema::enumName(reason)}});
                     })
                     .handler([this](const Net::HttpRequest &request, const Net::HttpReply &reply) {
-                        this->takeCall(request, reply);
+                        this->handleRequest(request, reply);
                     })
                     .build();
 }
@@ -55,9 +55,9 @@
 }
 
 /// Runs on the HTTP threads. Probes and refusals need no decision and are answered at once.
-void GatewayCallers::takeCall(const Net::HttpRequest &request, const Net::HttpReply &reply)
+void GatewayCallers::handleRequest(const Net::HttpRequest &request, const Net::HttpReply &reply)
 {
-    Common::handle([&] { return this->decodeCall(request, reply); },
+    Common::handle([&] { return this->decodeRequest(request, reply); },
                    [&](const Common::Failure &failure) {
                        this->control.metrics.count(RefusedRequests,
                                                    {{"reason", Schema::enumName(failure.reason)}});
@@ -65,8 +65,8 @@
                    });
 }
 
-Common::Outcome<void> GatewayCallers::decodeCall(const Net::HttpRequest &request,
-                                                 const Net::HttpReply &reply)
+Common::Outcome<void> GatewayCallers::decodeRequest(const Net::HttpRequest &request,
+                                                    const Net::HttpReply &reply)
 {
     BOOST_LEAF_AUTO(parsed, parseRequest(request));
     if (parsed.call == ApiCall::Health) {
@@ -91,20 +91,20 @@
         return;
     }
     case ApiCall::SetConfiguration: {
-        const std::string token = this->keepReply(called.reply);
+        const std::string token = this->storeReply(called.reply);
         this->carryOut(Dispatch::configureAsked(this->control.state, token, *called.request.change,
                                                 called.request.basedOn, this->control.now,
                                                 this->control.random));
         return;
     }
     case ApiCall::Query: {
-        const std::string token = this->keepReply(called.reply);
+        const std::string token = this->storeReply(called.reply);
         this->carryOut(Dispatch::queryAsked(this->control.state, token, called.request.text,
                                             this->control.now));
         return;
     }
     default:
-        this->askDispatch(called);
+        this->handleJobRequest(called);
     }
 }
 
@@ -119,30 +119,30 @@
     reply.send({Unavailable, body, "application/json", 0});
 }
 
-void GatewayCallers::askDispatch(ApiCalled &called)
+void GatewayCallers::handleJobRequest(ApiCalled &called)
 {
-    Dispatch::CallerRequest asked;
-    asked.token = this->keepReply(called.reply);
-    asked.wait = called.request.wait;
-    asked.job = called.request.job;
-    asked.submit = std::move(called.request.submit);
+    Dispatch::CallerRequest callerRequest;
+    callerRequest.token = this->storeReply(called.reply);
+    callerRequest.wait = called.request.wait;
+    callerRequest.job = called.request.job;
+    callerRequest.submit = std::move(called.request.submit);
     if (called.request.call == ApiCall::Submit) {
-        asked.kind = Schema::ForwardKind::Submit;
+        callerRequest.kind = Schema::ForwardKind::Submit;
     } else if (called.request.call == ApiCall::Cancel) {
-        asked.kind = Schema::ForwardKind::Cancel;
+        callerRequest.kind = Schema::ForwardKind::Cancel;
     }
-    this->carryOut(Dispatch::callerAsked(this->control.state, std::move(asked), this->control.now,
-                                         this->control.random));
+    this->carryOut(Dispatch::callerAsked(this->control.state, std::move(callerRequest),
+                                         this->control.now, this->control.random));
 }
 
-std::string GatewayCallers::keepReply(Net::HttpReply reply)
+std::string GatewayCallers::storeReply(Net::HttpReply reply)
 {
     std::string token = "h" + std::to_string(++this->lastToken);
     this->replies.emplace(token, std::move(reply));
     return token;
 }
 
-void GatewayCallers::sendKept(const std::string &token, const Net::HttpResponse &response)
+void GatewayCallers::sendReply(const std::string &token, const Net::HttpResponse &response)
 {
     const auto reply = this->replies.find(token);
     if (reply != this->replies.end()) {
@@ -159,23 +159,23 @@
     this->control.metrics.count("auburntrail_answers_total",
                                 {{"outcome", Schema::enumName(answer.answer.outcome)},
                                  {"reason", Schema::enumName(answer.answer.reason)}});
-    this->sendKept(answer.requestId, jobResponse(answer.answer));
+    this->sendReply(answer.requestId, jobResponse(answer.answer));
 }
 
 void GatewayCallers::answer(const Dispatch::AnswerConfigure &answer)
 {
     const bool isAccepted = answer.reason == Schema::Reason::None;
-    this->sendKept(answer.requestId, isAccepted ? jsonResponse(Ok, {{"version", answer.version}})
-                                                : failureResponse({answer.reason, answer.detail}));
+    this->sendReply(answer.requestId, isAccepted ? jsonResponse(Ok, {{"version", answer.version}})
+                                                 : failureResponse({answer.reason, answer.detail}));
 }
 
 void GatewayCallers::answer(const Dispatch::AnswerQuery &answer)
 {
-    this->sendKept(answer.requestId,
-                   jsonResponse(answer.answer.ok ? Ok : BadRequest, answer.answer));
+    this->sendReply(answer.requestId,
+                    jsonResponse(answer.answer.ok ? Ok : BadRequest, answer.answer));
 }
 
-bool GatewayCallers::isOwing() const
+bool GatewayCallers::hasOpenRequests() const
 {
     return !this->replies.empty();
 }
--- a/Source/Core/Gateway/GatewayCallers.h
+++ b/Source/Core/Gateway/GatewayCallers.h
@@ -15,7 +15,8 @@
 {
 public:
     /// The first two must outlive this.
-    GatewayCallers(GatewayControl &control, ControlMailbox &mailbox, CarryOutDispatch carryOut);
+    GatewayCallers(GatewayControl &control, ControlMailbox &mailbox,
+                   DispatchEffectHandler carryOut);
 
     /// Throws std::runtime_error where the address cannot be had.
     void start();
@@ -27,19 +28,20 @@
     void answer(const Dispatch::AnswerConfigure &answer);
     void answer(const Dispatch::AnswerQuery &answer);
     /// Whether any caller is owed a reply.
-    bool isOwing() const;
+    bool hasOpenRequests() const;
 
 private:
-    void takeCall(const Net::HttpRequest &request, const Net::HttpReply &reply);
-    Common::Outcome<void> decodeCall(const Net::HttpRequest &request, const Net::HttpReply &reply);
+    void handleRequest(const Net::HttpRequest &request, const Net::HttpReply &reply);
+    Common::Outcome<void> decodeRequest(const Net::HttpRequest &request,
+                                        const Net::HttpReply &reply);
     void answerReady(const Net::HttpReply &reply);
-    void askDispatch(ApiCalled &called);
-    std::string keepReply(Net::HttpReply reply);
-    void sendKept(const std::string &token, const Net::HttpResponse &response);
+    void handleJobRequest(ApiCalled &called);
+    std::string storeReply(Net::HttpReply reply);
+    void sendReply(const std::string &token, const Net::HttpResponse &response);
 
     GatewayControl &control;
     ControlMailbox &mailbox;
-    CarryOutDispatch carryOut;
+    DispatchEffectHandler carryOut;
     std::unordered_map<std::string, Net::HttpReply> replies;
     std::uint64_t lastToken = 0;
     std::unique_ptr<Net::HttpServer> server;
--- a/Source/Core/Gateway/GatewayControl.h
+++ b/Source/Core/Gateway/GatewayControl.h
@@ -13,7 +13,7 @@
 using ControlMailbox = Common::Mailbox<ControlMessage>;
 
 /// Carries out what decisions ask for, at once and in order.
-using CarryOutDispatch = std::function<void(Dispatch::Effects)>;
+using DispatchEffectHandler = std::function<void(Dispatch::Effects)>;
 
 /// Changed by the control thread only, but for the metrics.
 struct GatewayControl
--- a/Source/Core/Gateway/GatewayDaemon.cpp
+++ b/Source/Core/Gateway/GatewayDaemon.cpp
@@ -105,7 +105,7 @@
 
 bool GatewayDaemon::Implementation::run()
 {
-    std::int64_t stopBeganMs = 0;
+    std::int64_t stopStartedMs = 0;
     std::int64_t doneSinceMs = 0;
     while (true) {
         std::deque<ControlMessage> messages = this->mailbox.take(TickMs);
@@ -119,19 +119,20 @@
         if (this->control.now.steadyMs
             >= this->lastHousekeepingMs + this->control.settings.heartbeatMs) {
             this->lastHousekeepingMs = this->control.now.steadyMs;
-            this->links.dropSilentLinks();
+            this->links.closeSilentLinks();
             exportMetrics(this->control, this->links.traffic());
         }
         if (!this->control.state.stopping) {
             continue;
         }
-        stopBeganMs = stopBeganMs == 0 ? this->control.now.steadyMs : stopBeganMs;
-        const bool isDone = Dispatch::isStopped(this->control.state) && !this->callers.isOwing();
+        stopStartedMs = stopStartedMs == 0 ? this->control.now.steadyMs : stopStartedMs;
+        const bool isDone =
+                Dispatch::isStopped(this->control.state) && !this->callers.hasOpenRequests();
         doneSinceMs = isDone ? (doneSinceMs == 0 ? this->control.now.steadyMs : doneSinceMs) : 0;
         if (isDone && this->control.now.steadyMs >= doneSinceMs + LingerMs) {
             return true;
         }
-        if (this->control.now.steadyMs >= stopBeganMs + this->control.settings.stopTimeoutMs) {
+        if (this->control.now.steadyMs >= stopStartedMs + this->control.settings.stopTimeoutMs) {
             return false;
         }
     }
@@ -191,13 +192,13 @@
 
 GatewayDaemonBuilder &GatewayDaemonBuilder::settings(Schema::GatewaySettings settings)
 {
-    this->chosen = std::move(settings);
+    this->chosenSettings = std::move(settings);
     return *this;
 }
 
 std::unique_ptr<GatewayDaemon> GatewayDaemonBuilder::build()
 {
-    auto implementation = std::make_unique<GatewayDaemon::Implementation>(this->chosen);
+    auto implementation = std::make_unique<GatewayDaemon::Implementation>(this->chosenSettings);
     implementation->start();
     return std::unique_ptr<GatewayDaemon>(new GatewayDaemon(std::move(implementation)));
 }
--- a/Source/Core/Gateway/GatewayDaemon.h
+++ b/Source/Core/Gateway/GatewayDaemon.h
@@ -42,7 +42,7 @@
     std::unique_ptr<GatewayDaemon> build();
 
 private:
-    Schema::GatewaySettings chosen;
+    Schema::GatewaySettings chosenSettings;
 };
 
 } // namespace Gateway
--- a/Source/Core/Gateway/GatewayLinks.cpp
+++ b/Source/Core/Gateway/GatewayLinks.cpp
@@ -8,7 +8,7 @@
 using Common::LogLevel;
 
 GatewayLinks::GatewayLinks(GatewayControl &control, ControlMailbox &mailbox,
-                           CarryOutDispatch carryOut)
+                           DispatchEffectHandler carryOut)
     : control(control)
     , mailbox(mailbox)
     , carryOut(std::move(carryOut))
@@ -44,7 +44,7 @@
 
 void GatewayLinks::on(const Net::LinkUp &up)
 {
-    linkOpened(this->links, up.link, this->control.now);
+    markLinkOpen(this->links, up.link, this->control.now);
 }
 
 void GatewayLinks::on(Net::FrameArrived &arrived)
@@ -55,21 +55,21 @@
     }
     const Sender sender = senderOf(arrived.frame);
     if (sender.kind != PeerKind::Unidentified) {
-        const Net::LinkId replaced = linkIdentified(this->links, arrived.link, sender.kind,
-                                                    sender.instance, this->control.now);
+        const Net::LinkId replaced = identifyLink(this->links, arrived.link, sender.kind,
+                                                  sender.instance, this->control.now);
         if (replaced != 0) {
-            this->forgetLink(replaced);
+            this->closeLink(replaced);
         }
     }
     Link &link = this->links.links.at(arrived.link);
-    link.lastHeardMs = this->control.now.steadyMs;
+    link.lastReceivedMs = this->control.now.steadyMs;
     const PeerKind kind = link.kind;
     const std::string instance = link.instance;
     if (kind == PeerKind::Unidentified) {
-        holdEarly(link, std::move(arrived.frame));
+        holdEarlyFrame(link, std::move(arrived.frame));
         return;
     }
-    for (const Schema::Frame &frame : releaseEarly(link, std::move(arrived.frame))) {
+    for (const Schema::Frame &frame : releaseEarlyFrames(link, std::move(arrived.frame))) {
         if (kind == PeerKind::Agent) {
             this->carryOut(Dispatch::agentFrameHeard(this->control.state, instance, frame,
                                                      this->control.now, this->control.random));
@@ -82,15 +82,15 @@
 
 void GatewayLinks::on(const Net::LinkDown &down)
 {
-    this->forgetLink(down.link);
+    this->closeLink(down.link);
 }
 
 /// Also for a link that is closed on purpose: the decisions learn of it at once, not when the hub
 /// reports it.
-void GatewayLinks::forgetLink(Net::LinkId id)
+void GatewayLinks::closeLink(Net::LinkId id)
 {
     this->hub->close(id);
-    const Link link = linkClosed(this->links, id);
+    const Link link = removeLink(this->links, id);
     if (link.kind == PeerKind::Agent) {
         // Also where a new link of the same agent has taken its place: frames on the old one may be
         // lost, so that the agent is asked what arrived.
@@ -124,7 +124,7 @@
     if (!this->hub->send(link, send.frame)) {
         // The frame is lost: without a new connection nobody would ask what arrived.
         this->countUndeliverable("agent");
-        this->forgetLink(link);
+        this->closeLink(link);
         return;
     }
     this->countSent(send.frame);
@@ -151,8 +151,8 @@
     // Members do not know of a gateway that has not joined: it dials them all.
     const bool isMember = Dispatch::onRoster(table, this->control.state.self.instance);
     for (const Schema::Member &member : table.roster) {
-        const bool isOurs = !isMember || dials(this->links, member.instance);
-        if (member.instance == this->control.state.self.instance || !isOurs
+        const bool isDialledByUs = !isMember || shouldDial(this->links, member.instance);
+        if (member.instance == this->control.state.self.instance || !isDialledByUs
             || this->links.outboundTo.count(member.instance) != 0) {
             continue;
         }
@@ -164,11 +164,11 @@
         lastMs = this->control.now.steadyMs;
         const Net::LinkId link =
                 this->hub->connect(member.host, static_cast<std::uint16_t>(member.peerPort));
-        linkDialled(this->links, link, member.instance, this->control.now);
+        addDialledLink(this->links, link, member.instance, this->control.now);
     }
 }
 
-void GatewayLinks::dropSilentLinks()
+void GatewayLinks::closeSilentLinks()
 {
     const auto silent = silentLinks(
             this->links, this->control.now,
@@ -177,7 +177,7 @@
         Common::logEvent(LogLevel::Warning, "link_silent",
                          {{"peer", this->links.links.at(id).instance}});
         this->control.metrics.count("auburntrail_links_silent_total");
-        this->forgetLink(id);
+        this->closeLink(id);
     }
 }
 
--- a/Source/Core/Gateway/GatewayLinks.h
+++ b/Source/Core/Gateway/GatewayLinks.h
@@ -17,7 +17,7 @@
 {
 public:
     /// The first two must outlive this.
-    GatewayLinks(GatewayControl &control, ControlMailbox &mailbox, CarryOutDispatch carryOut);
+    GatewayLinks(GatewayControl &control, ControlMailbox &mailbox, DispatchEffectHandler carryOut);
 
     /// Listens for peers. Throws std::runtime_error where the address cannot be had.
     void start();
@@ -34,16 +34,16 @@
     void sendTo(const Dispatch::SendToAgent &send);
 
     void dialMembers();
-    void dropSilentLinks();
+    void closeSilentLinks();
 
 private:
-    void forgetLink(Net::LinkId id);
+    void closeLink(Net::LinkId id);
     void countSent(const Schema::Frame &frame);
     void countUndeliverable(const char *peer);
 
     GatewayControl &control;
     ControlMailbox &mailbox;
-    CarryOutDispatch carryOut;
+    DispatchEffectHandler carryOut;
     LinkTable links;
     std::map<std::string, std::int64_t> lastDialMs;
     std::uint16_t listenPort = 0;
--- a/Source/Core/Gateway/GatewayLog.cpp
+++ b/Source/Core/Gateway/GatewayLog.cpp
@@ -39,7 +39,8 @@
 
 } // namespace
 
-GatewayLog::GatewayLog(GatewayControl &control, ControlMailbox &mailbox, CarryOutDispatch carryOut)
+GatewayLog::GatewayLog(GatewayControl &control, ControlMailbox &mailbox,
+                       DispatchEffectHandler carryOut)
     : control(control)
     , mailbox(mailbox)
     , carryOut(std::move(carryOut))
--- a/Source/Core/Gateway/GatewayLog.h
+++ b/Source/Core/Gateway/GatewayLog.h
@@ -12,7 +12,7 @@
 {
 public:
     /// The first two must outlive this.
-    GatewayLog(GatewayControl &control, ControlMailbox &mailbox, CarryOutDispatch carryOut);
+    GatewayLog(GatewayControl &control, ControlMailbox &mailbox, DispatchEffectHandler carryOut);
 
     void start();
     /// Reads all streams from the oldest record on. The control's state must be made before.
@@ -26,7 +26,7 @@
 private:
     GatewayControl &control;
     ControlMailbox &mailbox;
-    CarryOutDispatch carryOut;
+    DispatchEffectHandler carryOut;
     std::unique_ptr<PlatformLog::LogClient> client;
 };
 
--- a/Source/Core/Gateway/Links.cpp
+++ b/Source/Core/Gateway/Links.cpp
@@ -26,42 +26,43 @@
             outbound != table.outboundTo.end() && table.links.at(outbound->second).isOpen;
     const auto inbound = table.inboundFrom.find(instance);
     const bool hasInbound = inbound != table.inboundFrom.end();
-    if (hasOutbound && (dials(table, instance) || !hasInbound)) {
+    if (hasOutbound && (shouldDial(table, instance) || !hasInbound)) {
         return outbound->second;
     }
     return hasInbound ? inbound->second : 0;
 }
 
-bool dials(const LinkTable &table, const std::string &instance)
+bool shouldDial(const LinkTable &table, const std::string &instance)
 {
     return table.self < instance;
 }
 
-void linkOpened(LinkTable &table, Net::LinkId id, Common::Moment now)
+void markLinkOpen(LinkTable &table, Net::LinkId id, Common::Moment now)
 {
     Link &link = table.links[id];
     link.id = id;
     link.isOpen = true;
-    link.lastHeardMs = now.steadyMs;
+    link.lastReceivedMs = now.steadyMs;
 }
 
-void linkDialled(LinkTable &table, Net::LinkId id, const std::string &instance, Common::Moment now)
+void addDialledLink(LinkTable &table, Net::LinkId id, const std::string &instance,
+                    Common::Moment now)
 {
     Link link;
     link.id = id;
     link.kind = PeerKind::Gateway;
     link.instance = instance;
     link.isOutbound = true;
-    link.lastHeardMs = now.steadyMs;
+    link.lastReceivedMs = now.steadyMs;
     table.links.emplace(id, link);
     table.outboundTo[instance] = id;
 }
 
-Net::LinkId linkIdentified(LinkTable &table, Net::LinkId id, PeerKind kind,
-                           const std::string &instance, Common::Moment now)
+Net::LinkId identifyLink(LinkTable &table, Net::LinkId id, PeerKind kind,
+                         const std::string &instance, Common::Moment now)
 {
     Link &link = table.links[id];
-    link.lastHeardMs = now.steadyMs;
+    link.lastReceivedMs = now.steadyMs;
     if (link.isOutbound || link.instance == instance) {
         return 0;
     }
@@ -73,21 +74,21 @@
     return replaced;
 }
 
-void holdEarly(Link &link, Schema::Frame frame)
+void holdEarlyFrame(Link &link, Schema::Frame frame)
 {
-    if (link.early.size() < MaxEarlyFrames) {
-        link.early.push_back(std::move(frame));
+    if (link.earlyFrames.size() < MaxEarlyFrames) {
+        link.earlyFrames.push_back(std::move(frame));
     }
 }
 
-std::vector<Schema::Frame> releaseEarly(Link &link, Schema::Frame frame)
+std::vector<Schema::Frame> releaseEarlyFrames(Link &link, Schema::Frame frame)
 {
-    std::vector<Schema::Frame> frames = std::exchange(link.early, {});
+    std::vector<Schema::Frame> frames = std::exchange(link.earlyFrames, {});
     frames.insert(frames.begin(), std::move(frame));
     return frames;
 }
 
-Link linkClosed(LinkTable &table, Net::LinkId id)
+Link removeLink(LinkTable &table, Net::LinkId id)
 {
     const auto found = table.links.find(id);
     if (found == table.links.end()) {
@@ -105,7 +106,7 @@
 {
     std::vector<Net::LinkId> silent;
     for (const auto &[id, link] : table.links) {
-        if (link.lastHeardMs + silenceMs <= now.steadyMs) {
+        if (link.lastReceivedMs + silenceMs <= now.steadyMs) {
             silent.push_back(id);
         }
     }
--- a/Source/Core/Gateway/Links.h
+++ b/Source/Core/Gateway/Links.h
@@ -24,9 +24,9 @@
     std::string instance;
     bool isOutbound = false;
     bool isOpen = false;
-    std::int64_t lastHeardMs = 0;
+    std::int64_t lastReceivedMs = 0;
     /// Frames that came before the one that names the sender.
-    std::vector<Schema::Frame> early;
+    std::vector<Schema::Frame> earlyFrames;
 };
 
 struct LinkTable
@@ -43,23 +43,24 @@
 Net::LinkId linkTo(const LinkTable &table, const std::string &instance);
 
 /// Whether this gateway is the one of the two to dial \a instance.
-bool dials(const LinkTable &table, const std::string &instance);
+bool shouldDial(const LinkTable &table, const std::string &instance);
 
-void linkOpened(LinkTable &table, Net::LinkId id, Common::Moment now);
-void linkDialled(LinkTable &table, Net::LinkId id, const std::string &instance, Common::Moment now);
+void markLinkOpen(LinkTable &table, Net::LinkId id, Common::Moment now);
+void addDialledLink(LinkTable &table, Net::LinkId id, const std::string &instance,
+                    Common::Moment now);
 /// The sender of a frame named itself. Returns the link it replaces, or 0.
-Net::LinkId linkIdentified(LinkTable &table, Net::LinkId id, PeerKind kind,
-                           const std::string &instance, Common::Moment now);
+Net::LinkId identifyLink(LinkTable &table, Net::LinkId id, PeerKind kind,
+                         const std::string &instance, Common::Moment now);
 /// Keeps a frame until the link's sender is known. A gateway may use a link that it has just
 /// dialled before its first heartbeat on it; dropped, such a request would wait until some link to
 /// that gateway went silent. A sender that stays unknown is not kept for: past a bound frames are
 /// dropped.
-void holdEarly(Link &link, Schema::Frame frame);
+void holdEarlyFrame(Link &link, Schema::Frame frame);
 /// Frames that have become readable with \a frame, in the order in which they count: the heartbeat
 /// first, since it says what the sender knows.
-std::vector<Schema::Frame> releaseEarly(Link &link, Schema::Frame frame);
+std::vector<Schema::Frame> releaseEarlyFrames(Link &link, Schema::Frame frame);
 /// Forgets the link and returns what it was.
-Link linkClosed(LinkTable &table, Net::LinkId id);
+Link removeLink(LinkTable &table, Net::LinkId id);
 /// Links not heard from for \a silenceMs.
 std::vector<Net::LinkId> silentLinks(const LinkTable &table, Common::Moment now,
                                      std::int64_t silenceMs);
--- a/Source/Core/Gateway/TransientCallers.cpp
+++ b/Source/Core/Gateway/TransientCallers.cpp
@@ -15,23 +15,23 @@
 namespace {
 
 constexpr int RetrySeconds = 1;
-constexpr const char *EndingDetail = "this gateway ends; nothing has run";
+constexpr const char *StoppingDetail = "this gateway ends; nothing has run";
 constexpr int Ok = 200;
 constexpr int BadRequest = 400;
 constexpr int NotFound = 404;
 constexpr int Gone = 410;
 constexpr int Unavailable = 503;
 /// Of a caller that does not say how long it waits.
-constexpr std::int64_t DefaultPatienceMs = 30'000;
+constexpr std::int64_t DefaultRemainingTimeoutMs = 30'000;
 /// An answer at the last moment has to reach its caller.
-constexpr std::int64_t ReturnMs = 20;
+constexpr std::int64_t AnswerTransitMs = 20;
 constexpr const char *RefusedRequests = "auburntrail_requests_refused_total";
 constexpr const char *UndeliveredAnswers = "auburntrail_answers_undelivered_total";
 
-Common::Outcome<void> decodeBody(CallerAsked &asked, const std::string &body)
+Common::Outcome<void> decodeBody(CallerRequest &callerRequest, const std::string &body)
 {
-    BOOST_LEAF_AUTO(job, Platform::decodeJob(asked.id, body));
-    asked.job = std::move(job);
+    BOOST_LEAF_AUTO(job, Platform::decodeJob(callerRequest.id, body));
+    callerRequest.job = std::move(job);
     return {};
 }
 
@@ -48,7 +48,7 @@
 } // namespace
 
 TransientCallers::TransientCallers(TransientControl &control, TransientMailbox &mailbox,
-                                   CarryOut carryOut)
+                                   TransientEffectHandler carryOut)
     : control(control)
     , mailbox(mailbox)
     , carryOut(std::move(carryOut))
@@ -75,10 +75,10 @@
                                                     {{"reason", Schema::enumName(reason)}});
                     })
                     .disconnected([this](std::uint64_t connection) {
-                        this->mailbox.post(CallerLeft{connection});
+                        this->mailbox.post(CallerDisconnected{connection});
                     })
                     .handler([this](const Net::HttpRequest &request, Net::HttpReply reply) {
-                        this->takeCall(request, std::move(reply));
+                        this->handleRequest(request, std::move(reply));
                     })
                     .build();
 }
@@ -115,42 +115,45 @@
     return this->metricsServer->port();
 }
 
-void TransientCallers::refuseFromNowOn()
+void TransientCallers::refuseNewRequests()
 {
     const std::lock_guard<std::mutex> lock(this->intakeMutex);
     this->isRefusing = true;
 }
 
-void TransientCallers::refuseUnread(const CallerAsked &event)
+void TransientCallers::refuseUnprocessed(const CallerRequest &event)
 {
-    this->refuse(event, Unavailable, Reason::Stopping, EndingDetail);
+    this->refuse(event, Unavailable, Reason::Stopping, StoppingDetail);
 }
 
 /// Runs on the HTTP thread.
-void TransientCallers::takeCall(const Net::HttpRequest &request, Net::HttpReply reply)
+void TransientCallers::handleRequest(const Net::HttpRequest &request, Net::HttpReply reply)
 {
     const std::lock_guard<std::mutex> lock(this->intakeMutex);
     if (this->isRefusing) {
-        Net::HttpResponse response = refusal(Unavailable, EndingDetail);
+        Net::HttpResponse response = refusal(Unavailable, StoppingDetail);
         response.closesConnection = true;
         reply.send(response);
         return;
     }
-    CallerAsked asked{
+    CallerRequest callerRequest{
             request.method,  {}, request.path, {}, 0, std::nullopt, {}, request.connection,
             std::move(reply)};
     const auto host = request.headers.find("host");
-    asked.host = host == request.headers.end() ? std::string() : host->second;
-    asked.id = request.path.substr(request.path.rfind('/') + 1);
-    asked.remainingTimeoutMs = Platform::callerPatienceMs(request).value_or(DefaultPatienceMs);
+    callerRequest.host = host == request.headers.end() ? std::string() : host->second;
+    callerRequest.id = request.path.substr(request.path.rfind('/') + 1);
+    callerRequest.remainingTimeoutMs =
+            Platform::callerPatienceMs(request).value_or(DefaultRemainingTimeoutMs);
     if (request.method == "POST") {
-        Common::handle([&] { return decodeBody(asked, request.body); },
-                       [&asked](const Common::Failure &failure) { asked.failure = failure; });
+        Common::handle([&] { return decodeBody(callerRequest, request.body); },
+                       [&callerRequest](const Common::Failure &failure) {
+                           callerRequest.failure = failure;
+                       });
     }
-    this->mailbox.post(std::move(asked));
+    this->mailbox.post(std::move(callerRequest));
 }
 
-void TransientCallers::on(CallerAsked &event)
+void TransientCallers::on(CallerRequest &event)
 {
     if (this->control.queues.version == 0) {
         this->refuse(event, Unavailable, Reason::NoConfiguration, "no configuration yet");
@@ -162,68 +165,72 @@
         this->refuse(event, NotFound, Reason::UnknownQueue, "no such queue");
         return;
     }
-    const std::string rest = event.path.substr(queue->path.size());
-    if (event.method == "GET" && rest.empty()) {
+    const std::string jobId = event.path.substr(queue->path.size());
+    if (event.method == "GET" && jobId.empty()) {
         this->reply(event.reply, Platform::encodeWaiting(
                                          Transient::waitingJobs(this->control.state, queue->name)));
         return;
     }
-    if (!Platform::isJobId(rest)) {
+    if (!Platform::isJobId(jobId)) {
         this->refuse(event, BadRequest, Reason::Malformed, "the path must end with a job's id");
         return;
     }
     if (event.method == "POST") {
         this->submit(event, *queue);
     } else if (event.method == "GET" || event.method == "DELETE") {
-        this->askState(event, *queue);
+        this->handleStateOrCancel(event, *queue);
     } else {
         this->refuse(event, BadRequest, Reason::Malformed, "no such call");
     }
 }
 
-void TransientCallers::submit(CallerAsked &asked, const Schema::JobQueue &queue)
+void TransientCallers::submit(CallerRequest &callerRequest, const Schema::JobQueue &queue)
 {
-    if (!asked.job) {
-        const bool isUnsupported = asked.failure.reason == Reason::UnsupportedJob;
-        this->refuse(asked, isUnsupported ? Unavailable : BadRequest, asked.failure.reason,
-                     asked.failure.detail);
+    if (!callerRequest.job) {
+        const bool isUnsupported = callerRequest.failure.reason == Reason::UnsupportedJob;
+        this->refuse(callerRequest, isUnsupported ? Unavailable : BadRequest,
+                     callerRequest.failure.reason, callerRequest.failure.detail);
         return;
     }
     Transient::Submission submission;
     submission.token = std::to_string(++this->lastToken);
     submission.queue = queue;
-    submission.request = std::move(*asked.job);
-    submission.remainingTimeoutMs = std::max<std::int64_t>(0, asked.remainingTimeoutMs - ReturnMs);
-    this->requests.emplace(submission.token, OpenRequest{asked.connection, asked.reply});
+    submission.request = std::move(*callerRequest.job);
+    submission.remainingTimeoutMs =
+            std::max<std::int64_t>(0, callerRequest.remainingTimeoutMs - AnswerTransitMs);
+    this->requests.emplace(submission.token,
+                           OpenRequest{callerRequest.connection, callerRequest.reply});
     this->carryOut(Transient::jobSubmitted(this->control.state, std::move(submission),
                                            this->control.now, this->control.random));
 }
 
 /// Transient jobs are not kept: what has ended is not known any more.
-void TransientCallers::askState(const CallerAsked &asked, const Schema::JobQueue &queue)
+void TransientCallers::handleStateOrCancel(const CallerRequest &callerRequest,
+                                           const Schema::JobQueue &queue)
 {
-    const auto found = this->control.state.jobs.find(asked.id);
+    const auto found = this->control.state.jobs.find(callerRequest.id);
     const bool isKnown = found != this->control.state.jobs.end()
                          && found->second.queue.name == queue.name && !found->second.result;
     if (!isKnown) {
-        this->refuse(asked, Gone, Reason::UnknownJob, "no such job");
+        this->refuse(callerRequest, Gone, Reason::UnknownJob, "no such job");
         return;
     }
-    if (asked.method == "DELETE") {
-        this->carryOut(Transient::jobCancelled(this->control.state, asked.id, this->control.now));
+    if (callerRequest.method == "DELETE") {
+        this->carryOut(
+                Transient::jobCancelled(this->control.state, callerRequest.id, this->control.now));
     }
-    this->reply(asked.reply, Platform::encodeRunning());
+    this->reply(callerRequest.reply, Platform::encodeRunning());
 }
 
-void TransientCallers::on(const CallerLeft &event)
+void TransientCallers::on(const CallerDisconnected &event)
 {
-    std::vector<std::string> left;
+    std::vector<std::string> abandonedTokens;
     for (const auto &[token, request] : this->requests) {
         if (request.connection == event.connection) {
-            left.push_back(token);
+            abandonedTokens.push_back(token);
         }
     }
-    for (const std::string &token : left) {
+    for (const std::string &token : abandonedTokens) {
         this->requests.erase(token);
         this->carryOut(
                 Transient::handleCallerDisconnected(this->control.state, token, this->control.now));
@@ -244,32 +251,32 @@
     }
 }
 
-void TransientCallers::refuse(const CallerAsked &asked, int status, Reason reason,
+void TransientCallers::refuse(const CallerRequest &callerRequest, int status, Reason reason,
                               const std::string &detail)
 {
     this->control.metrics.count(RefusedRequests, {{"reason", Schema::enumName(reason)}});
     Common::logEvent(LogLevel::Info, "request_refused",
-                     {{"job", asked.id},
-                      {"method", asked.method},
-                      {"host", asked.host},
-                      {"path", asked.path},
+                     {{"job", callerRequest.id},
+                      {"method", callerRequest.method},
+                      {"host", callerRequest.host},
+                      {"path", callerRequest.path},
                       {"queues_version", this->control.queues.version},
                       {"reason", Schema::enumName(reason)},
                       {"detail", detail}});
-    this->reply(asked.reply, refusal(status, detail));
+    this->reply(callerRequest.reply, refusal(status, detail));
 }
 
 bool TransientCallers::reply(const Net::HttpReply &reply, Net::HttpResponse response)
 {
     response.closesConnection = this->control.state.isStopping;
-    const bool isHandedOver = reply.send(response);
-    if (!isHandedOver) {
+    const bool isSent = reply.send(response);
+    if (!isSent) {
         this->control.metrics.count(UndeliveredAnswers, {});
     }
-    return isHandedOver;
+    return isSent;
 }
 
-void TransientCallers::passTime(bool isReady)
+void TransientCallers::runPeriodicWork(bool isReady)
 {
     this->ready = isReady;
     if (!this->requests.empty()) {
@@ -284,11 +291,11 @@
     return this->requests.size();
 }
 
-bool TransientCallers::isQuiet() const
+bool TransientCallers::isIdle() const
 {
-    constexpr std::int64_t QuietMs = 200;
+    constexpr std::int64_t MinIdleMs = 200;
     return this->requests.empty() && this->callerServer->openConnections() == 0
-           && this->idleSinceMs != 0 && this->control.now.steadyMs >= this->idleSinceMs + QuietMs;
+           && this->idleSinceMs != 0 && this->control.now.steadyMs >= this->idleSinceMs + MinIdleMs;
 }
 
 } // namespace Gateway
--- a/Source/Core/Gateway/TransientCallers.h
+++ b/Source/Core/Gateway/TransientCallers.h
@@ -18,7 +18,8 @@
 {
 public:
     /// The first two must outlive this.
-    TransientCallers(TransientControl &control, TransientMailbox &mailbox, CarryOut carryOut);
+    TransientCallers(TransientControl &control, TransientMailbox &mailbox,
+                     TransientEffectHandler carryOut);
 
     /// Throws std::runtime_error where an address cannot be had.
     void start();
@@ -26,20 +27,20 @@
     std::uint16_t callerPort() const;
     std::uint16_t metricsPort() const;
 
-    void on(CallerAsked &event);
-    void on(const CallerLeft &event);
+    void on(CallerRequest &event);
+    void on(const CallerDisconnected &event);
     void answer(const Transient::AnswerCaller &effect);
 
     /// \a isReady is what the probe says from now on.
-    void passTime(bool isReady);
+    void runPeriodicWork(bool isReady);
     /// What is asked from now on is refused as it comes, on the HTTP thread: the control thread
     /// reads no more messages. What it has not read yet is left in the mailbox.
-    void refuseFromNowOn();
-    /// Asked before refuseFromNowOn() and not looked at.
-    void refuseUnread(const CallerAsked &event);
+    void refuseNewRequests();
+    /// Asked before refuseNewRequests() and not looked at.
+    void refuseUnprocessed(const CallerRequest &event);
     std::size_t openRequests() const;
     /// No caller is owed an answer or can still ask.
-    bool isQuiet() const;
+    bool isIdle() const;
 
 private:
     struct OpenRequest
@@ -50,17 +51,17 @@
 
     void startCallerServer();
     void startProbeServer();
-    void takeCall(const Net::HttpRequest &request, Net::HttpReply reply);
-    void submit(CallerAsked &asked, const Schema::JobQueue &queue);
-    void askState(const CallerAsked &asked, const Schema::JobQueue &queue);
-    void refuse(const CallerAsked &asked, int status, Schema::Reason reason,
+    void handleRequest(const Net::HttpRequest &request, Net::HttpReply reply);
+    void submit(CallerRequest &callerRequest, const Schema::JobQueue &queue);
+    void handleStateOrCancel(const CallerRequest &callerRequest, const Schema::JobQueue &queue);
+    void refuse(const CallerRequest &callerRequest, int status, Schema::Reason reason,
                 const std::string &detail);
     /// False where the caller has gone.
     bool reply(const Net::HttpReply &reply, Net::HttpResponse response);
 
     TransientControl &control;
     TransientMailbox &mailbox;
-    CarryOut carryOut;
+    TransientEffectHandler carryOut;
     std::atomic<bool> ready{false};
     std::mutex intakeMutex;
     bool isRefusing = false;
--- a/Source/Core/Gateway/TransientControl.h
+++ b/Source/Core/Gateway/TransientControl.h
@@ -17,7 +17,7 @@
 namespace Gateway {
 
 /// A call of a caller, decoded.
-struct CallerAsked
+struct CallerRequest
 {
     std::string method;
     std::string host;
@@ -32,7 +32,7 @@
     Net::HttpReply reply;
 };
 
-struct CallerLeft
+struct CallerDisconnected
 {
     std::uint64_t connection = 0;
 };
@@ -47,22 +47,22 @@
     std::vector<Schema::Member> gateways;
 };
 
-struct TimesRead
+struct LearnedTimesRead
 {
     bool available = false;
     std::vector<Schema::LearnedTimes> learned;
 };
 
-struct TransientStopAsked
+struct TransientStopRequested
 {};
 
-using TransientMessage =
-        std::variant<CallerAsked, CallerLeft, Net::LinkUp, Net::LinkDown, Net::FrameArrived,
-                     QueuesRead, GatewaysRead, TimesRead, TransientStopAsked>;
+using TransientMessage = std::variant<CallerRequest, CallerDisconnected, Net::LinkUp, Net::LinkDown,
+                                      Net::FrameArrived, QueuesRead, GatewaysRead, LearnedTimesRead,
+                                      TransientStopRequested>;
 using TransientMailbox = Common::Mailbox<TransientMessage>;
 
 /// Carries out what decisions ask for, at once and in order.
-using CarryOut = std::function<void(Transient::Effects)>;
+using TransientEffectHandler = std::function<void(Transient::Effects)>;
 
 /// Changed by the control thread only, but for the metrics.
 struct TransientControl
--- a/Source/Core/Gateway/TransientDaemon.cpp
+++ b/Source/Core/Gateway/TransientDaemon.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 /// While stopping, answers are owed so long before the process must be gone.
-constexpr std::int64_t LastAnswersMs = 300;
+constexpr std::int64_t AnswerReserveMs = 300;
 
 } // namespace
 
@@ -31,18 +31,18 @@
 
     void start();
     bool run();
-    void endService();
+    void refuseRemainingRequests();
     void stopThreads();
 
-    void on(CallerAsked &event) { this->callers.on(event); }
-    void on(const CallerLeft &event) { this->callers.on(event); }
+    void on(CallerRequest &event) { this->callers.on(event); }
+    void on(const CallerDisconnected &event) { this->callers.on(event); }
     void on(const Net::LinkUp &event) { this->links.on(event); }
     void on(const Net::LinkDown &event) { this->links.on(event); }
     void on(const Net::FrameArrived &event) { this->links.on(event); }
     void on(const QueuesRead &event) { this->links.takeQueues(event.queues, "store"); }
     void on(const GatewaysRead &event);
-    void on(const TimesRead &event) { this->store.on(event); }
-    void on(const TransientStopAsked &event);
+    void on(const LearnedTimesRead &event) { this->store.on(event); }
+    void on(const TransientStopRequested &event);
 
     void carryOut(Transient::Effects effects);
     void carryOut(const Transient::SendToAgent &effect) { this->links.sendTo(effect); }
@@ -51,7 +51,7 @@
     void carryOut(const Transient::ObserveSeconds &effect);
     void carryOut(const Transient::LogLine &effect);
 
-    void passTime();
+    void runPeriodicWork();
     std::int64_t nextWakeMs() const;
     bool isStopComplete() const;
 
@@ -59,7 +59,7 @@
     TransientMailbox mailbox;
     std::int64_t stopDeadlineMs = 0;
     /// That the metrics show.
-    std::optional<std::size_t> shownJobs;
+    std::optional<std::size_t> reportedJobs;
 
     // Last, so that their threads end before what they post to.
     TransientLinks links;
@@ -104,9 +104,9 @@
         for (TransientMessage &message : messages) {
             std::visit([this](auto &event) { this->on(event); }, message);
         }
-        this->passTime();
+        this->runPeriodicWork();
         if (this->control.state.isStopping && this->isStopComplete()) {
-            this->endService();
+            this->refuseRemainingRequests();
             return this->callers.openRequests() == 0;
         }
     }
@@ -114,12 +114,12 @@
 
 /// Callers use open connections until the process is gone, and its servers take some time to stop.
 /// What they ask meanwhile would wait for a thread that has ended, and be cut off with it.
-void TransientDaemon::Implementation::endService()
+void TransientDaemon::Implementation::refuseRemainingRequests()
 {
-    this->callers.refuseFromNowOn();
+    this->callers.refuseNewRequests();
     for (const TransientMessage &message : this->mailbox.take(std::chrono::milliseconds(0))) {
-        if (const auto *asked = std::get_if<CallerAsked>(&message)) {
-            this->callers.refuseUnread(*asked);
+        if (const auto *callerRequest = std::get_if<CallerRequest>(&message)) {
+            this->callers.refuseUnprocessed(*callerRequest);
         }
     }
 }
@@ -128,7 +128,7 @@
 /// may while there are any.
 bool TransientDaemon::Implementation::isStopComplete() const
 {
-    return this->callers.isQuiet() || this->control.now.steadyMs >= this->stopDeadlineMs;
+    return this->callers.isIdle() || this->control.now.steadyMs >= this->stopDeadlineMs;
 }
 
 std::int64_t TransientDaemon::Implementation::nextWakeMs() const
@@ -145,7 +145,7 @@
     Transient::addGateways(this->control.discovery, event.gateways, this->control.now);
 }
 
-void TransientDaemon::Implementation::on(const TransientStopAsked & /*event*/)
+void TransientDaemon::Implementation::on(const TransientStopRequested & /*event*/)
 {
     TransientControl &control = this->control;
     if (control.state.isStopping) {
@@ -155,7 +155,7 @@
             LogLevel::Info, "stop_requested",
             {{"requests", this->callers.openRequests()}, {"jobs", control.state.jobs.size()}});
     this->stopDeadlineMs = control.now.steadyMs + control.settings.stopTimeoutMs;
-    Transient::beginStop(control.state, control.settings.stopTimeoutMs - LastAnswersMs,
+    Transient::beginStop(control.state, control.settings.stopTimeoutMs - AnswerReserveMs,
                          control.now);
 }
 
@@ -184,17 +184,17 @@
     Common::logEvent(LogLevel::Info, effect.event, effect.fields);
 }
 
-void TransientDaemon::Implementation::passTime()
+void TransientDaemon::Implementation::runPeriodicWork()
 {
     TransientControl &control = this->control;
     this->carryOut(Transient::tick(control.state, control.now, control.random));
-    this->links.passTime();
-    this->store.passTime();
-    this->callers.passTime(control.queues.version > 0 && this->links.hasAgents()
-                           && !control.state.isStopping);
+    this->links.runPeriodicWork();
+    this->store.runPeriodicWork();
+    this->callers.runPeriodicWork(control.queues.version > 0 && this->links.hasAgents()
+                                  && !control.state.isStopping);
     const std::size_t jobs = control.state.jobs.size();
-    if (jobs != this->shownJobs) {
-        this->shownJobs = jobs;
+    if (jobs != this->reportedJobs) {
+        this->reportedJobs = jobs;
         control.metrics.set("auburntrail_transient_jobs_open", static_cast<double>(jobs));
     }
 }
@@ -220,7 +220,7 @@
 
 void TransientDaemon::requestStop()
 {
-    this->implementation->mailbox.post(TransientStopAsked{});
+    this->implementation->mailbox.post(TransientStopRequested{});
 }
 
 bool TransientDaemon::run()
@@ -230,13 +230,13 @@
 
 TransientDaemonBuilder &TransientDaemonBuilder::settings(Schema::TransientGatewaySettings settings)
 {
-    this->chosen = std::move(settings);
+    this->chosenSettings = std::move(settings);
     return *this;
 }
 
 std::unique_ptr<TransientDaemon> TransientDaemonBuilder::build()
 {
-    auto implementation = std::make_unique<TransientDaemon::Implementation>(this->chosen);
+    auto implementation = std::make_unique<TransientDaemon::Implementation>(this->chosenSettings);
     implementation->start();
     return std::unique_ptr<TransientDaemon>(new TransientDaemon(std::move(implementation)));
 }
--- a/Source/Core/Gateway/TransientDaemon.h
+++ b/Source/Core/Gateway/TransientDaemon.h
@@ -41,7 +41,7 @@
     std::unique_ptr<TransientDaemon> build();
 
 private:
-    Schema::TransientGatewaySettings chosen;
+    Schema::TransientGatewaySettings chosenSettings;
 };
 
 } // namespace Gateway
--- a/Source/Core/Gateway/TransientLinks.cpp
+++ b/Source/Core/Gateway/TransientLinks.cpp
@@ -8,7 +8,7 @@
 using Common::LogLevel;
 
 TransientLinks::TransientLinks(TransientControl &control, TransientMailbox &mailbox,
-                               CarryOut carryOut)
+                               TransientEffectHandler carryOut)
     : control(control)
     , mailbox(mailbox)
     , carryOut(std::move(carryOut))
@@ -30,7 +30,7 @@
 {
     PeerLink &link = this->links[event.link];
     link.isOpen = true;
-    link.heardMs = this->control.now.steadyMs;
+    link.lastReceivedMs = this->control.now.steadyMs;
     this->announceTo(event.link, link);
 }
 
@@ -63,7 +63,7 @@
         return;
     }
     PeerLink &link = found->second;
-    link.heardMs = this->control.now.steadyMs;
+    link.lastReceivedMs = this->control.now.steadyMs;
     const Schema::Frame &frame = event.frame;
     if (frame.agentAnnouncement) {
         this->agentAnnounced(event.link, *frame.agentAnnouncement);
@@ -83,10 +83,10 @@
 void TransientLinks::agentAnnounced(Net::LinkId id, const Schema::AgentAnnouncement &announcement)
 {
     PeerLink &link = this->links.at(id);
-    const auto former = this->agentLinks.find(announcement.instance);
-    if (former != this->agentLinks.end() && former->second != id) {
+    const auto previousLink = this->agentLinks.find(announcement.instance);
+    if (previousLink != this->agentLinks.end() && previousLink->second != id) {
         // Frames on the former link may be lost: the agent is taken as met anew.
-        this->hub->close(former->second);
+        this->hub->close(previousLink->second);
         this->carryOut(Transient::handleAgentDisconnected(
                 this->control.state, announcement.instance, this->control.now));
     }
@@ -109,7 +109,7 @@
             Transient::gatewayConnected(this->control.discovery, link.address, this->control.now);
         }
     }
-    const bool isNews = !link.gateway;
+    const bool isNewGateway = !link.gateway;
     link.gateway = announcement.gateway;
     Transient::addGateway(this->control.discovery, Transient::addressOf(announcement.gateway),
                           this->control.now);
@@ -120,7 +120,7 @@
     if (announcement.queuesVersion < this->control.queues.version) {
         this->sendQueues(id);
     }
-    if (isNews) {
+    if (isNewGateway) {
         // Agents learn of a new gateway from the others, and dial it.
         this->announceToAll();
     }
@@ -166,15 +166,15 @@
     }
 }
 
-std::vector<Schema::Member> TransientLinks::liveGateways() const
+std::vector<Schema::Member> TransientLinks::connectedGateways() const
 {
-    std::vector<Schema::Member> live;
+    std::vector<Schema::Member> connected;
     for (const auto &[id, link] : this->links) {
         if (link.gateway) {
-            live.push_back(*link.gateway);
+            connected.push_back(*link.gateway);
         }
     }
-    return live;
+    return connected;
 }
 
 void TransientLinks::announceTo(Net::LinkId id, PeerLink &link)
@@ -183,7 +183,7 @@
     Schema::Frame frame = frameOf(Schema::FrameType::GatewayAnnouncement);
     frame.gatewayAnnouncement = Schema::GatewayAnnouncement{};
     frame.gatewayAnnouncement->gateway = this->control.self;
-    frame.gatewayAnnouncement->others = this->liveGateways();
+    frame.gatewayAnnouncement->others = this->connectedGateways();
     frame.gatewayAnnouncement->queuesVersion = this->control.queues.version;
     if (link.gateway) {
         auto orphans = Transient::orphansToRelay(this->control.state, this->control.now);
@@ -198,11 +198,12 @@
     this->hub->send(id, frame);
 }
 
-void TransientLinks::dropSilent()
+void TransientLinks::closeSilentLinks()
 {
     for (const auto &[id, link] : this->links) {
         if (link.isOpen
-            && this->control.now.steadyMs > link.heardMs + this->control.settings.silenceMs) {
+            && this->control.now.steadyMs
+                       > link.lastReceivedMs + this->control.settings.silenceMs) {
             this->hub->close(id);
         }
     }
@@ -217,7 +218,7 @@
     }
 }
 
-void TransientLinks::passTime()
+void TransientLinks::runPeriodicWork()
 {
     const std::int64_t nowMs = this->control.now.steadyMs;
     for (auto &[id, link] : this->links) {
@@ -225,7 +226,7 @@
             this->announceTo(id, link);
         }
     }
-    this->dropSilent();
+    this->closeSilentLinks();
     this->dialGateways();
 }
 
@@ -248,7 +249,7 @@
     for (const auto &[id, link] : this->links) {
         if (link.isOpen) {
             next = std::min(next, link.sentMs + this->control.settings.heartbeatMs);
-            next = std::min(next, link.heardMs + this->control.settings.silenceMs + 1);
+            next = std::min(next, link.lastReceivedMs + this->control.settings.silenceMs + 1);
         }
     }
     return next;
--- a/Source/Core/Gateway/TransientLinks.h
+++ b/Source/Core/Gateway/TransientLinks.h
@@ -17,7 +17,8 @@
 {
 public:
     /// The first two must outlive this.
-    TransientLinks(TransientControl &control, TransientMailbox &mailbox, CarryOut carryOut);
+    TransientLinks(TransientControl &control, TransientMailbox &mailbox,
+                   TransientEffectHandler carryOut);
 
     /// Listens for peers. Throws std::runtime_error where the address cannot be had.
     void start();
@@ -30,8 +31,8 @@
     void sendTo(const Transient::SendToAgent &effect);
     /// Puts \a newer in force and tells the other gateways, where it is newer.
     void takeQueues(Schema::QueueTable newer, const std::string &source);
-    void passTime();
-    /// When passTime() has something to do.
+    void runPeriodicWork();
+    /// When runPeriodicWork() has something to do.
     std::int64_t nextWakeMs() const;
     bool hasAgents() const;
 
@@ -44,7 +45,7 @@
         /// Instance of the agent; empty where the peer is none.
         std::string agent;
         std::optional<Schema::Member> gateway;
-        std::int64_t heardMs = 0;
+        std::int64_t lastReceivedMs = 0;
         std::int64_t sentMs = 0;
     };
 
@@ -53,13 +54,13 @@
     void sendQueues(Net::LinkId id);
     void announceTo(Net::LinkId id, PeerLink &link);
     void announceToAll();
-    void dropSilent();
+    void closeSilentLinks();
     void dialGateways();
-    std::vector<Schema::Member> liveGateways() const;
+    std::vector<Schema::Member> connectedGateways() const;
 
     TransientControl &control;
     TransientMailbox &mailbox;
-    CarryOut carryOut;
+    TransientEffectHandler carryOut;
     std::map<Net::LinkId, PeerLink> links;
     std::map<std::string, Net::LinkId> agentLinks;
     std::unique_ptr<Net::PeerHub> hub;
--- a/Source/Core/Gateway/TransientStore.cpp
+++ b/Source/Core/Gateway/TransientStore.cpp
@@ -62,7 +62,7 @@
     });
 }
 
-void TransientStore::passTime()
+void TransientStore::runPeriodicWork()
 {
     this->readLearned();
     this->writeLearned();
@@ -75,11 +75,11 @@
         return;
     }
     this->client->readOnce(StoreTopic::Learned, [this](const StoreClient::StoreNews &news) {
-        this->mailbox.post(TimesRead{news.available, Platform::decodeLearned(news.records)});
+        this->mailbox.post(LearnedTimesRead{news.available, Platform::decodeLearned(news.records)});
     });
 }
 
-void TransientStore::on(const TimesRead &event)
+void TransientStore::on(const LearnedTimesRead &event)
 {
     if (!event.available) {
         return;
--- a/Source/Core/Gateway/TransientStore.h
+++ b/Source/Core/Gateway/TransientStore.h
@@ -16,8 +16,8 @@
     TransientStore(TransientControl &control, TransientMailbox &mailbox);
 
     void start();
-    void passTime();
-    void on(const TimesRead &event);
+    void runPeriodicWork();
+    void on(const LearnedTimesRead &event);
     void stop();
 
 private:
--- a/Source/UnitTests/Gateway/LinksTest.cpp
+++ b/Source/UnitTests/Gateway/LinksTest.cpp
@@ -10,21 +10,21 @@
     Gateway::LinkTable table;
     table.self = "gateway-2";
     const Net::LinkId id = 7;
-    Gateway::linkOpened(table, id, {});
+    Gateway::markLinkOpen(table, id, {});
     Schema::Frame forward;
     forward.type = Schema::FrameType::Forward;
     CHECK(Gateway::senderOf(forward).kind == Gateway::PeerKind::Unidentified);
-    Gateway::holdEarly(table.links.at(id), forward);
+    Gateway::holdEarlyFrame(table.links.at(id), forward);
 
     Schema::Frame ping;
     ping.type = Schema::FrameType::PeerPing;
     ping.peerPing.emplace().instance = "gateway-1";
-    Gateway::linkIdentified(table, id, Gateway::PeerKind::Gateway, "gateway-1", {});
-    const auto frames = Gateway::releaseEarly(table.links.at(id), ping);
+    Gateway::identifyLink(table, id, Gateway::PeerKind::Gateway, "gateway-1", {});
+    const auto frames = Gateway::releaseEarlyFrames(table.links.at(id), ping);
     REQUIRE(frames.size() == 2);
     CHECK(frames.at(0).type == Schema::FrameType::PeerPing);
     CHECK(frames.at(1).type == Schema::FrameType::Forward);
-    CHECK(Gateway::releaseEarly(table.links.at(id), ping).size() == 1);
+    CHECK(Gateway::releaseEarlyFrames(table.links.at(id), ping).size() == 1);
 }
 
 TEST_CASE("A sender that never names itself fills no memory")
@@ -32,7 +32,7 @@
     Gateway::Link link;
     constexpr int Flood = 100000;
     for (int count = 0; count < Flood; ++count) {
-        Gateway::holdEarly(link, {});
+        Gateway::holdEarlyFrame(link, {});
     }
-    CHECK(link.early.size() < 2000);
+    CHECK(link.earlyFrames.size() < 2000);
 }
