--- a/Source/Core/Gateway/ControlMessage.h
+++ b/Source/Core/Gateway/ControlMessage.h
@@ -8,7 +8,7 @@
 #include "Net/Net.h"
 #include "PlatformLog/PlatformLog.h"
 
-/// What the traffic threads tell the control thread.
+/// Messages that the traffic threads post to the control thread.
 namespace Gateway {
 
 struct ApiCalled
--- a/Source/Core/Gateway/Gateway.h
+++ b/Source/Core/Gateway/Gateway.h
@@ -3,4 +3,5 @@
 #include "Gateway/GatewayDaemon.h"
 #include "Gateway/TransientDaemon.h"
 
-/// Public header of the gateway library: the daemon around the decisions of the dispatch library.
+/// Public header of the gateway library: the daemons that run the decision code of the dispatch and
+/// transient libraries.
--- a/Source/Core/Gateway/GatewayControl.h
+++ b/Source/Core/Gateway/GatewayControl.h
@@ -7,15 +7,15 @@
 #include "Gateway/ControlMessage.h"
 #include "Schema/Schema.h"
 
-/// What the parts of the gateway daemon share.
+/// State and types shared by the components of the gateway daemon.
 namespace Gateway {
 
 using ControlMailbox = Common::Mailbox<ControlMessage>;
 
-/// Carries out what decisions ask for, at once and in order.
+/// Carries out the effects of a decision, immediately and in order.
 using DispatchEffectHandler = std::function<void(Dispatch::Effects)>;
 
-/// Changed by the control thread only, but for the metrics.
+/// Modified only by the control thread, except for the metrics, which any thread may update.
 struct GatewayControl
 {
     Schema::GatewaySettings settings;
--- a/Source/Core/Gateway/GatewayDaemon.cpp
+++ b/Source/Core/Gateway/GatewayDaemon.cpp
@@ -17,15 +17,16 @@
 
 namespace {
 
-/// Longest wait for an event: bounds how late a timer of the decisions can fire.
+/// Longest wait for an event, and so the longest delay of a timer in the decision code.
 constexpr std::chrono::milliseconds TickMs{5};
-/// After the last answer a caller's connection gets this long to take it.
+/// How long the daemon still runs after the last answer, so that the answer can be written to the
+/// caller's connection.
 constexpr std::int64_t LingerMs = 200;
 
 } // namespace
 
-/// The control loop: events go to the part that they concern, and what decisions ask for is carried
-/// out by it.
+/// The control loop: passes each event to the component that handles it, and each effect of a
+/// decision to the component that carries it out.
 struct GatewayDaemon::Implementation
 {
     explicit Implementation(const Schema::GatewaySettings &settings);
@@ -56,7 +57,7 @@
     ControlMailbox mailbox;
     std::int64_t lastHousekeepingMs = 0;
 
-    // Last, so that their threads end before what they post to.
+    // Declared last, so that their threads end before the mailbox they post to is destroyed.
     GatewayLinks links;
     GatewayLog log;
     GatewayCallers callers;
--- a/Source/Core/Gateway/GatewayDaemon.h
+++ b/Source/Core/Gateway/GatewayDaemon.h
@@ -7,8 +7,8 @@
 
 namespace Gateway {
 
-/// A running gateway. One control thread owns all state; HTTP, WebSocket and log threads hand it
-/// messages and carry out its effects.
+/// A running gateway. One control thread owns all state; HTTP, WebSocket and log threads post
+/// messages to it and carry out its effects.
 class GatewayDaemon
 {
 public:
@@ -19,11 +19,11 @@
     std::uint16_t httpPort() const;
     std::uint16_t peerPort() const;
 
-    /// Begins a graceful stop: shards are handed over and every request owed is answered. Safe from
-    /// any thread.
+    /// Requests a graceful stop: shards are handed over and every open request is answered. May be
+    /// called from any thread.
     void requestStop();
-    /// Runs the control thread's loop until the stop is complete or its time is over. Returns false
-    /// where the time ran out.
+    /// Runs the control loop until the stop is complete or its timeout has expired. Returns false
+    /// if the timeout has expired.
     bool run();
 
 private:
@@ -37,8 +37,8 @@
 {
 public:
     GatewayDaemonBuilder &settings(Schema::GatewaySettings settings);
-    /// Listens on its ports and starts its traffic threads. Throws std::runtime_error where an
-    /// address cannot be had.
+    /// Starts to listen on the ports and starts the traffic threads. Throws std::runtime_error if
+    /// it cannot listen on an address.
     std::unique_ptr<GatewayDaemon> build();
 
 private:
--- a/Source/Core/Gateway/GatewayLinks.cpp
+++ b/Source/Core/Gateway/GatewayLinks.cpp
@@ -85,15 +85,15 @@
     this->closeLink(down.link);
 }
 
-/// Also for a link that is closed on purpose: the decisions learn of it at once, not when the hub
-/// reports it.
+/// Closes and removes the link, and informs the decision code. A link that this gateway closes
+/// itself is handled here at once, not only when the hub reports it as closed.
 void GatewayLinks::closeLink(Net::LinkId id)
 {
     this->hub->close(id);
     const Link link = removeLink(this->links, id);
     if (link.kind == PeerKind::Agent) {
-        // Also where a new link of the same agent has taken its place: frames on the old one may be
-        // lost, so that the agent is asked what arrived.
+        // Also needed if a new link of the same agent has replaced this one: frames on the old link
+        // may be lost, so the agent has to be asked what arrived.
         Dispatch::agentLinkLost(this->control.state, link.instance, this->control.now);
     } else if (link.kind == PeerKind::Gateway) {
         Dispatch::gatewayLinkLost(this->control.state, link.instance);
@@ -105,7 +105,8 @@
     const Net::LinkId link = linkTo(this->links, send.instance);
     if (link == 0 || !this->hub->send(link, send.frame)) {
         this->countUndeliverable("gateway");
-        // A request that could not be handed on is tried again; the owner would have answered once.
+        // A forwarded request that could not be sent is tried again, like all others forwarded to
+        // that gateway: the owner answers a request once, and has not received this one.
         if (send.frame.type == Schema::FrameType::Forward) {
             Dispatch::gatewayLinkLost(this->control.state, send.instance);
         }
@@ -122,7 +123,8 @@
         return;
     }
     if (!this->hub->send(link, send.frame)) {
-        // The frame is lost: without a new connection nobody would ask what arrived.
+        // The frame is lost. The agent is asked what arrived only after it has connected again, so
+        // the link is closed.
         this->countUndeliverable("agent");
         this->closeLink(link);
         return;
@@ -148,7 +150,7 @@
 void GatewayLinks::dialMembers()
 {
     const Dispatch::ControlTable &table = this->control.state.site.ownership.table;
-    // Members do not know of a gateway that has not joined: it dials them all.
+    // Members do not know a gateway that has not joined yet, so it dials all of them.
     const bool isMember = Dispatch::onRoster(table, this->control.state.self.instance);
     for (const Schema::Member &member : table.roster) {
         const bool isDialledByUs = !isMember || shouldDial(this->links, member.instance);
--- a/Source/Core/Gateway/GatewayLinks.h
+++ b/Source/Core/Gateway/GatewayLinks.h
@@ -11,17 +11,17 @@
 
 namespace Gateway {
 
-/// Links of the gateway daemon to agents and other gateways: dialled, told apart by their first
-/// frames, and given up when silent.
+/// Links of the gateway daemon to agents and other gateways. Dials members, identifies the peer of
+/// an accepted link by the first frame that names it, and closes silent links.
 class GatewayLinks
 {
 public:
-    /// The first two must outlive this.
+    /// \a control and \a mailbox must outlive this object.
     GatewayLinks(GatewayControl &control, ControlMailbox &mailbox, DispatchEffectHandler carryOut);
 
-    /// Listens for peers. Throws std::runtime_error where the address cannot be had.
+    /// Starts to listen for peers. Throws std::runtime_error if it cannot listen on the address.
     void start();
-    /// Named when its ports are known.
+    /// Sets the instance of this gateway, which is created once its ports are known.
     void setSelf(const std::string &instance);
     void stop();
     std::uint16_t port() const;
--- a/Source/Core/Gateway/Links.cpp
+++ b/Source/Core/Gateway/Links.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What a gateway sends within a heartbeat is far less.
+/// A gateway sends far fewer frames within one heartbeat interval.
 constexpr std::size_t MaxEarlyFrames = 1024;
 
 void eraseIfSame(std::map<std::string, Net::LinkId> &index, const Link &link)
