--- a/Source/Core/Gateway/CallerApi.h
+++ b/Source/Core/Gateway/CallerApi.h
@@ -7,8 +7,8 @@
 #include "Net/Net.h"
 #include "Schema/Schema.h"
 
-/// The HTTP interface as functions: what a request asks for, and how an answer is put. It runs on
-/// the traffic threads, so that parsing and checking bodies never delays a decision.
+/// HTTP interface for callers: parses requests and encodes answers. Bodies are parsed and checked
+/// on the traffic threads, so that this never delays a decision.
 namespace Gateway {
 
 enum class ApiCall {
@@ -23,7 +23,7 @@
     Metrics
 };
 
-/// One well-formed request.
+/// A valid request.
 struct ApiRequest
 {
     ApiCall call = ApiCall::Health;
@@ -35,14 +35,14 @@
     std::string text;
 };
 
-/// What \a request asks for; the failure's reason decides the status of the refusal.
+/// Parses and checks \a request. The reason of a failure determines the HTTP status of the refusal.
 Common::Outcome<ApiRequest> parseRequest(const Net::HttpRequest &request);
 
 /// HTTP status for an answer with this outcome and reason.
 int statusOf(Schema::JobOutcome outcome, Schema::Reason reason);
 
 Net::HttpResponse jobResponse(const Schema::JobAnswer &answer);
-/// A refusal before there was a job.
+/// Refusal of a request that is not about an existing job.
 Net::HttpResponse failureResponse(const Common::Failure &failure);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/GatewayCallers.cpp
+++ b/Source/Core/Gateway/GatewayCallers.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Requests refused before they reach a decision.
+/// Counts requests that are refused before they reach the decision code.
 constexpr const char *RefusedRequests = "auburntrail_requests_refused_total";
 constexpr int Ok = 200;
 constexpr int BadRequest = 400;
@@ -54,7 +54,8 @@
     return this->server->port();
 }
 
-/// Runs on the HTTP threads. Probes and refusals need no decision and are answered at once.
+/// Called on the HTTP threads. Health checks, requests for metrics and invalid requests need no
+/// decision and are answered at once.
 void GatewayCallers::handleRequest(const Net::HttpRequest &request, const Net::HttpReply &reply)
 {
     Common::handle([&] { return this->decodeRequest(request, reply); },
--- a/Source/Core/Gateway/GatewayCallers.h
+++ b/Source/Core/Gateway/GatewayCallers.h
@@ -10,15 +10,15 @@
 
 namespace Gateway {
 
-/// The callers' side of the gateway daemon: calls over HTTP, and the replies that are owed.
+/// HTTP server of the gateway daemon: requests of callers, and the replies that are still open.
 class GatewayCallers
 {
 public:
-    /// The first two must outlive this.
+    /// \a control and \a mailbox must outlive this object.
     GatewayCallers(GatewayControl &control, ControlMailbox &mailbox,
                    DispatchEffectHandler carryOut);
 
-    /// Throws std::runtime_error where the address cannot be had.
+    /// Starts the server. Throws std::runtime_error if it cannot listen on the address.
     void start();
     void stop();
     std::uint16_t port() const;
@@ -27,7 +27,7 @@
     void answer(const Dispatch::AnswerRequest &answer);
     void answer(const Dispatch::AnswerConfigure &answer);
     void answer(const Dispatch::AnswerQuery &answer);
-    /// Whether any caller is owed a reply.
+    /// True if a request has not been answered yet.
     bool hasOpenRequests() const;
 
 private:
--- a/Source/Core/Gateway/GatewayLog.h
+++ b/Source/Core/Gateway/GatewayLog.h
@@ -7,15 +7,16 @@
 
 namespace Gateway {
 
-/// The log's side of the gateway daemon: streams that are read, and records that are appended.
+/// Access of the gateway daemon to the log: reads its streams and appends records.
 class GatewayLog
 {
 public:
-    /// The first two must outlive this.
+    /// \a control and \a mailbox must outlive this object.
     GatewayLog(GatewayControl &control, ControlMailbox &mailbox, DispatchEffectHandler carryOut);
 
     void start();
-    /// Reads all streams from the oldest record on. The control's state must be made before.
+    /// Starts to read all streams from the oldest record on. GatewayControl::state must have been
+    /// created before.
     void follow();
     void stop();
 
--- a/Source/Core/Gateway/GatewayMetrics.h
+++ b/Source/Core/Gateway/GatewayMetrics.h
@@ -5,7 +5,7 @@
 
 namespace Gateway {
 
-/// Shows operators how large the gateway's state is, and its traffic with peers.
+/// Exports the size of the gateway's state and its traffic with peers as metrics.
 void exportMetrics(GatewayControl &control, const Net::PeerHubTraffic &traffic);
 
 } // namespace Gateway
