--- a/Source/AuburntrailGateway/Main.cpp
+++ b/Source/AuburntrailGateway/Main.cpp
@@ -33,7 +33,7 @@
     return Daemon::runProgram(
             argc, argv,
             {"auburntrail-gateway",
-             "Gateway of auburntrail: takes jobs from callers and sees that each task runs once.",
+             "Gateway of auburntrail: accepts jobs from callers and ensures each task runs once.",
              {"GatewaySettings", serveJournaled},
              {"TransientGatewaySettings", serveTransient}});
 }
