--- a/Source/Core/Agent/AgentCore.cpp
+++ b/Source/Core/Agent/AgentCore.cpp
@@ -22,7 +22,7 @@
         return {};
     }
     state.drainConfigured = drained;
-    Effects effects{Note{drained ? "drain_started" : "drain_ended", {}}};
+    Effects effects{LogLine{drained ? "drain_started" : "drain_ended", {}}};
     if (drained) {
         append(effects, returnQueued(state, Schema::Reason::AgentDraining, now));
     }
@@ -31,8 +31,8 @@
 }
 
 /// Configuration never goes back, however late an older document arrives.
-Effects takeConfiguration(AgentState &state, const Schema::Configuration &configuration,
-                          Common::Moment now)
+Effects updateConfiguration(AgentState &state, const Schema::Configuration &configuration,
+                            Common::Moment now)
 {
     if (configuration.version <= state.configVersion) {
         return {};
@@ -45,67 +45,68 @@
     return setDrain(state, drained, now);
 }
 
-Effects takeTable(AgentState &state, const Schema::OwnershipTable &table, Common::Moment now)
+Effects updateTable(AgentState &state, const Schema::OwnershipTable &table, Common::Moment now)
 {
     const bool newer = table.version > state.fence.tableVersion;
-    const RaisedShards raised = adoptTable(state.fence, table);
+    const RaisedShards raised = mergeTable(state.fence, table);
     if (newer) {
         setRoster(state.links, state.fence.roster);
     }
-    return followNewEpochs(state, raised, now);
+    return applyRaisedEpochs(state, raised, now);
 }
 
 /// The settings may name a balancer, or a gateway by another address than the roster: one link to
 /// each gateway is enough, and states must not arrive twice.
 Effects closeDuplicate(AgentState &state, Endpoint &endpoint, Common::Moment now)
 {
-    Effects effects{CloseLink{endpoint.link}, Note{"link_duplicate", {{"gateway", endpoint.host}}}};
-    noteClosed(state.links, endpoint, now);
+    Effects effects{CloseLink{endpoint.link},
+                    LogLine{"link_duplicate", {{"gateway", endpoint.host}}}};
+    markClosed(state.links, endpoint, now);
     return effects;
 }
 
-Effects takePong(AgentState &state, Endpoint &endpoint, const Schema::GatewayPong &pong,
-                 Common::Moment now)
+Effects handlePong(AgentState &state, Endpoint &endpoint, const Schema::GatewayPong &pong,
+                   Common::Moment now)
 {
     Effects effects;
     const bool first = !endpoint.answered;
-    const std::optional<std::int64_t> sentMs = noteAnswered(endpoint, pong);
+    const std::optional<std::int64_t> sentMs = recordPong(endpoint, pong);
     if (isDuplicate(state.links, endpoint)) {
         return closeDuplicate(state, endpoint, now);
     }
     if (first) {
-        oweAgain(state, pong.instance, now);
-        effects.emplace_back(Note{"link_answered", {{"gateway", pong.instance}}});
+        makeReportsDue(state, pong.instance, now);
+        effects.emplace_back(LogLine{"link_answered", {{"gateway", pong.instance}}});
     }
     if (pong.table) {
-        append(effects, takeTable(state, *pong.table, now));
+        append(effects, updateTable(state, *pong.table, now));
     }
     if (pong.configuration) {
-        append(effects, takeConfiguration(state, *pong.configuration, now));
+        append(effects, updateConfiguration(state, *pong.configuration, now));
     }
     if (sentMs) {
-        noteAnswer(state.fence, pong, *sentMs);
+        recordHelloAnswer(state.fence, pong, *sentMs);
     }
     return effects;
 }
 
-Effects takeStarts(AgentState &state, Endpoint &endpoint, const Schema::StartTasks &starts,
-                   Common::Moment now)
+Effects handleStartTasks(AgentState &state, Endpoint &endpoint, const Schema::StartTasks &starts,
+                         Common::Moment now)
 {
     endpoint.demand = starts.demand;
     return acceptStarts(state, endpoint.link, senderOf(endpoint), starts, now);
 }
 
-Effects takeAsk(AgentState &state, const Endpoint &endpoint, const Schema::AskTasks &ask,
-                Common::Moment now)
+Effects handleAskTasks(AgentState &state, const Endpoint &endpoint, const Schema::AskTasks &ask,
+                       Common::Moment now)
 {
     const LinkNumber link = endpoint.link;
-    Effects effects = followNewEpochs(state, adoptShards(state.fence, ask.shards), now);
-    append(effects, answerAsk(state, link, ask, now));
+    Effects effects = applyRaisedEpochs(state, mergeShards(state.fence, ask.shards), now);
+    append(effects, answerAskTasks(state, link, ask, now));
     return effects;
 }
 
-bool carriesMember(const Schema::Frame &frame)
+bool hasPayload(const Schema::Frame &frame)
 {
     switch (frame.type) {
     case Schema::FrameType::GatewayPong:
@@ -123,30 +124,30 @@
     }
 }
 
-Effects takeFrame(AgentState &state, Endpoint &endpoint, const Schema::Frame &frame,
-                  Common::Moment now)
+Effects handleFrame(AgentState &state, Endpoint &endpoint, const Schema::Frame &frame,
+                    Common::Moment now)
 {
-    if (!carriesMember(frame)) {
+    if (!hasPayload(frame)) {
         return {CountReason{RefusalsCounter, Schema::Reason::Malformed}};
     }
     switch (frame.type) {
     case Schema::FrameType::GatewayPong:
-        return takePong(state, endpoint, *frame.gatewayPong, now);
+        return handlePong(state, endpoint, *frame.gatewayPong, now);
     case Schema::FrameType::StartTasks:
-        return takeStarts(state, endpoint, *frame.startTasks, now);
+        return handleStartTasks(state, endpoint, *frame.startTasks, now);
     case Schema::FrameType::AcknowledgeTasks:
-        takeAcknowledgement(state, senderOf(endpoint), *frame.acknowledgeTasks);
+        handleAcknowledgement(state, senderOf(endpoint), *frame.acknowledgeTasks);
         return {};
     case Schema::FrameType::CancelTasks:
         return cancelQueued(state, *frame.cancelTasks, now);
     default:
-        return takeAsk(state, endpoint, *frame.askTasks, now);
+        return handleAskTasks(state, endpoint, *frame.askTasks, now);
     }
 }
 
 /// After a pause of this process all links look silent, though their frames wait unread. Silence is
 /// judged anew from here on; the lease is not touched, since it counts from what was sent.
-void forgivePause(AgentState &state, Common::Moment now)
+void resetSilenceAfterPause(AgentState &state, Common::Moment now)
 {
     const std::int64_t pausedMs = state.lastTickMs == 0 ? 0 : now.steadyMs - state.lastTickMs;
     state.lastTickMs = now.steadyMs;
@@ -154,7 +155,7 @@
         return;
     }
     for (auto &entry : state.links.endpoints) {
-        entry.second.heardMs = now.steadyMs;
+        entry.second.lastReceivedMs = now.steadyMs;
     }
 }
 
@@ -166,7 +167,7 @@
     if (endpoint == nullptr) {
         return {CloseLink{link}};
     }
-    noteOpened(*endpoint, now);
+    markOpen(*endpoint, now);
     return sendHellos(state, false, now);
 }
 
@@ -179,10 +180,10 @@
     Effects effects;
     if (endpoint->stage == LinkStage::Open) {
         effects.emplace_back(CountReason{LinkLossesCounter, Schema::Reason::ConnectionLost});
-        effects.emplace_back(Note{"link_lost", {{"gateway", endpoint->host}}});
+        effects.emplace_back(LogLine{"link_lost", {{"gateway", endpoint->host}}});
     }
     state.directReplies.erase(link);
-    noteClosed(state.links, *endpoint, now);
+    markClosed(state.links, *endpoint, now);
     return effects;
 }
 
@@ -193,8 +194,8 @@
     if (endpoint == nullptr) {
         return {};
     }
-    endpoint->heardMs = now.steadyMs;
-    return takeFrame(state, *endpoint, frame, now);
+    endpoint->lastReceivedMs = now.steadyMs;
+    return handleFrame(state, *endpoint, frame, now);
 }
 
 Effects runAnswered(AgentState &state, const TaskKey &key, const Net::HttpResult &answer,
@@ -209,18 +210,18 @@
         return {};
     }
     state.healthy = healthy;
-    Effects effects{Note{healthy ? "backend_healthy" : "backend_unhealthy", {}}};
+    Effects effects{LogLine{healthy ? "backend_healthy" : "backend_unhealthy", {}}};
     append(effects, sendHellos(state, true, now));
     return effects;
 }
 
 Effects tick(AgentState &state, Common::Moment now)
 {
-    forgivePause(state, now);
+    resetSilenceAfterPause(state, now);
     Effects effects = superviseLinks(state.links, now);
     append(effects, startQueued(state, now));
     append(effects, sendHellos(state, false, now));
-    const std::size_t unacknowledged = forgetExpired(state.outcomes, now);
+    const std::size_t unacknowledged = removeExpired(state.outcomes, now);
     if (unacknowledged != 0) {
         effects.emplace_back(CountReason{DroppedCounter, Schema::Reason::OwnerUnreachable,
                                          static_cast<double>(unacknowledged)});
@@ -237,7 +238,7 @@
 {
     state.stopping = true;
     state.stopDeadlineMs = now.steadyMs + state.stopTimeoutMs;
-    Effects effects{Note{"stopping", {{"running", std::to_string(state.slots.running.size())}}}};
+    Effects effects{LogLine{"stopping", {{"running", std::to_string(state.slots.running.size())}}}};
     append(effects, returnQueued(state, Schema::Reason::AgentDraining, now));
     append(effects, sendHellos(state, true, now));
     return effects;
@@ -249,8 +250,8 @@
         return false;
     }
     const bool idle = state.slots.running.empty() && state.slots.queue.empty();
-    const bool told = state.outcomes.due.empty() && state.directReplies.empty();
-    return (idle && told) || now.steadyMs >= state.stopDeadlineMs;
+    const bool reported = state.outcomes.pendingReports.empty() && state.directReplies.empty();
+    return (idle && reported) || now.steadyMs >= state.stopDeadlineMs;
 }
 
 bool isReady(const AgentState &state, Common::Moment now)
--- a/Source/Core/Agent/AgentDaemon.cpp
+++ b/Source/Core/Agent/AgentDaemon.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr std::int64_t TickMs = 20;
-constexpr std::int64_t PublishMs = 500;
-constexpr std::int64_t ShortestHealthTimeoutMs = 1000;
+constexpr std::int64_t TickIntervalMs = 20;
+constexpr std::int64_t PublishIntervalMs = 500;
+constexpr std::int64_t MinHealthTimeoutMs = 1000;
 constexpr int StatusUnavailable = 503;
 constexpr int StatusNotFound = 404;
 
@@ -69,7 +69,7 @@
     void start();
     bool run();
 
-    void takeMessage(ControlMessage message);
+    void handleMessage(ControlMessage message);
     Effects decide(const Net::LinkUp &event, Common::Moment now);
     Effects decide(const Net::LinkDown &event, Common::Moment now);
     Effects decide(const Net::FrameArrived &event, Common::Moment now);
@@ -83,12 +83,12 @@
     void carryOut(const SendToGateway &effect);
     void carryOut(const RunTask &effect);
     void carryOut(const CountReason &effect);
-    void carryOut(const Note &effect);
+    void carryOut(const LogLine &effect);
 
-    void passTime(Common::Moment now);
-    void askHealth();
+    void runPeriodicWork(Common::Moment now);
+    void checkHealth();
     void publish(Common::Moment now);
-    Net::HttpResponse answerOperator(const Net::HttpRequest &request);
+    Net::HttpResponse handleHttpRequest(const Net::HttpRequest &request);
     LinkNumber numberOf(Net::LinkId link) const;
 
     Schema::AgentSettings settings;
@@ -103,7 +103,7 @@
     std::int64_t nextTickMs = 0;
     std::int64_t nextHealthMs = 0;
     std::int64_t nextPublishMs = 0;
-    bool askingHealth = false;
+    bool healthCheckPending = false;
 
     // Last, so that their threads end before what they post to.
     std::unique_ptr<Net::PeerHub> hub;
@@ -125,7 +125,7 @@
                     .listenOn(this->settings.host,
                               static_cast<std::uint16_t>(this->settings.metricsPort))
                     .handler([this](const Net::HttpRequest &request, const Net::HttpReply &reply) {
-                        reply.send(this->answerOperator(request));
+                        reply.send(this->handleHttpRequest(request));
                     })
                     .build();
     this->hub = std::make_unique<Net::PeerHub>(Net::eventsTo(this->mailbox));
@@ -141,16 +141,17 @@
                       {"backend", this->settings.backendUrl},
                       {"metrics_port", this->server->port()}});
     while (!stopFinished(this->state, Common::currentMoment())) {
-        for (ControlMessage &message : this->mailbox.take(std::chrono::milliseconds(TickMs))) {
-            this->takeMessage(std::move(message));
+        for (ControlMessage &message :
+             this->mailbox.take(std::chrono::milliseconds(TickIntervalMs))) {
+            this->handleMessage(std::move(message));
         }
-        this->passTime(Common::currentMoment());
+        this->runPeriodicWork(Common::currentMoment());
         this->carryOut(flush(this->state, Common::currentMoment()));
     }
-    return this->state.slots.running.empty() && this->state.outcomes.due.empty();
+    return this->state.slots.running.empty() && this->state.outcomes.pendingReports.empty();
 }
 
-void AgentDaemon::Implementation::takeMessage(ControlMessage message)
+void AgentDaemon::Implementation::handleMessage(ControlMessage message)
 {
     // The clock is read for each message: one that waited through a pause must not be judged by an
     // older time.
@@ -190,7 +191,7 @@
 
 Effects AgentDaemon::Implementation::decide(const HealthAnswered &event, Common::Moment now)
 {
-    this->askingHealth = false;
+    this->healthCheckPending = false;
     return healthAnswered(this->state, event.healthy, now);
 }
 
@@ -250,34 +251,34 @@
                         effect.amount);
 }
 
-void AgentDaemon::Implementation::carryOut(const Note &effect)
+void AgentDaemon::Implementation::carryOut(const LogLine &effect)
 {
     Common::logEvent(Common::LogLevel::Info, effect.event, effect.fields);
 }
 
-void AgentDaemon::Implementation::passTime(Common::Moment now)
+void AgentDaemon::Implementation::runPeriodicWork(Common::Moment now)
 {
-    if (now.steadyMs >= this->nextHealthMs && !this->askingHealth) {
+    if (now.steadyMs >= this->nextHealthMs && !this->healthCheckPending) {
         this->nextHealthMs = now.steadyMs + this->settings.heartbeatMs;
-        this->askHealth();
+        this->checkHealth();
     }
     if (now.steadyMs >= this->nextTickMs) {
-        this->nextTickMs = now.steadyMs + TickMs;
+        this->nextTickMs = now.steadyMs + TickIntervalMs;
         this->carryOut(tick(this->state, now));
     }
     if (now.steadyMs >= this->nextPublishMs) {
-        this->nextPublishMs = now.steadyMs + PublishMs;
+        this->nextPublishMs = now.steadyMs + PublishIntervalMs;
         this->publish(now);
     }
     this->ready = isReady(this->state, now);
 }
 
-void AgentDaemon::Implementation::askHealth()
+void AgentDaemon::Implementation::checkHealth()
 {
-    this->askingHealth = true;
+    this->healthCheckPending = true;
     Net::HttpCall call;
     call.url = this->settings.backendUrl + "/health";
-    call.timeoutMs = std::max(ShortestHealthTimeoutMs, this->settings.heartbeatMs);
+    call.timeoutMs = std::max(MinHealthTimeoutMs, this->settings.heartbeatMs);
     this->healthClient->send(std::move(call), [this](const Net::HttpResult &answer) {
         this->mailbox.post(HealthAnswered{readHealthAnswer(answer)});
     });
@@ -289,7 +290,7 @@
     publishTraffic(this->metrics, this->hub->traffic());
 }
 
-Net::HttpResponse AgentDaemon::Implementation::answerOperator(const Net::HttpRequest &request)
+Net::HttpResponse AgentDaemon::Implementation::handleHttpRequest(const Net::HttpRequest &request)
 {
     Net::HttpResponse response;
     if (request.path == "/metrics") {
--- a/Source/Core/Agent/AgentMetrics.cpp
+++ b/Source/Core/Agent/AgentMetrics.cpp
@@ -32,7 +32,7 @@
     metrics.set("auburntrail_agent_running_tasks", count(state.slots.running.size()));
     metrics.set("auburntrail_agent_queued_tasks", count(state.slots.queue.size()));
     metrics.set("auburntrail_agent_remembered_tasks", count(state.outcomes.records.size()));
-    metrics.set("auburntrail_agent_owed_states", count(state.outcomes.due.size()));
+    metrics.set("auburntrail_agent_owed_states", count(state.outcomes.pendingReports.size()));
     metrics.set("auburntrail_agent_result_bytes", count(state.outcomes.resultBytes));
     metrics.set("auburntrail_agent_links", answeredLinks(state));
     metrics.set("auburntrail_agent_backend_healthy", state.healthy ? 1 : 0);
--- a/Source/Core/Agent/AgentState.cpp
+++ b/Source/Core/Agent/AgentState.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::int64_t SlotsPerQueuePlace = 2;
-constexpr std::int64_t ShortestRepeatReportMs = 200;
+constexpr std::int64_t SlotsPerQueueEntry = 2;
+constexpr std::int64_t MinRepeatReportMs = 200;
 
 Schema::BackendServer describeBackend(const Schema::AgentSettings &settings)
 {
@@ -40,10 +40,9 @@
     state.links.random = random;
     addSettingsGateways(state.links, settings.gateways);
     state.outcomes.options.retentionMs = settings.outcomeRetentionMs;
-    state.outcomes.options.repeatReportMs =
-            std::max(ShortestRepeatReportMs, 2 * settings.heartbeatMs);
+    state.outcomes.options.repeatReportMs = std::max(MinRepeatReportMs, 2 * settings.heartbeatMs);
     state.slots.slots = std::min(settings.slots, settings.connections);
-    state.slots.queueLimit = std::max<std::int64_t>(1, state.slots.slots / SlotsPerQueuePlace);
+    state.slots.queueLimit = std::max<std::int64_t>(1, state.slots.slots / SlotsPerQueueEntry);
     return state;
 }
 
--- a/Source/Core/Agent/BackendAnswer.cpp
+++ b/Source/Core/Agent/BackendAnswer.cpp
@@ -10,7 +10,7 @@
 constexpr int StatusPreconditionFailed = 412;
 constexpr int StatusUnavailable = 503;
 
-TaskEnd endWith(Schema::TaskPhase phase, Schema::Reason reason)
+TaskEnd makeEnd(Schema::TaskPhase phase, Schema::Reason reason)
 {
     TaskEnd end;
     end.phase = phase;
@@ -25,9 +25,9 @@
     const bool readable =
             json.is_object() && json.contains("result") && json.at("result").is_string();
     if (!readable) {
-        return endWith(Schema::TaskPhase::Failed, Schema::Reason::TaskFailed);
+        return makeEnd(Schema::TaskPhase::Failed, Schema::Reason::TaskFailed);
     }
-    TaskEnd end = endWith(Schema::TaskPhase::Succeeded, Schema::Reason::None);
+    TaskEnd end = makeEnd(Schema::TaskPhase::Succeeded, Schema::Reason::None);
     end.result = json.at("result").get<std::string>();
     return end;
 }
@@ -38,11 +38,11 @@
     case StatusOk:
         return readResult(answer.body);
     case StatusPreconditionFailed:
-        return endWith(Schema::TaskPhase::NotStarted, Schema::Reason::NotAfterPassed);
+        return makeEnd(Schema::TaskPhase::NotStarted, Schema::Reason::NotAfterPassed);
     case StatusUnavailable:
-        return endWith(Schema::TaskPhase::NotStarted, Schema::Reason::BackendRefused);
+        return makeEnd(Schema::TaskPhase::NotStarted, Schema::Reason::BackendRefused);
     default:
-        return endWith(Schema::TaskPhase::Failed, Schema::Reason::TaskFailed);
+        return makeEnd(Schema::TaskPhase::Failed, Schema::Reason::TaskFailed);
     }
 }
 
@@ -54,12 +54,12 @@
     case Net::HttpTransport::Answered:
         return readStatus(answer);
     case Net::HttpTransport::NotConnected:
-        return endWith(Schema::TaskPhase::NotStarted, Schema::Reason::BackendUnreachable);
+        return makeEnd(Schema::TaskPhase::NotStarted, Schema::Reason::BackendUnreachable);
     case Net::HttpTransport::Lost:
     case Net::HttpTransport::TimedOut:
         break;
     }
-    return endWith(Schema::TaskPhase::Unknown, Schema::Reason::TaskLost);
+    return makeEnd(Schema::TaskPhase::Unknown, Schema::Reason::TaskLost);
 }
 
 bool readHealthAnswer(const Net::HttpResult &answer)
--- a/Source/Core/Agent/Effects.h
+++ b/Source/Core/Agent/Effects.h
@@ -65,13 +65,14 @@
 };
 
 /// One log line.
-struct Note
+struct LogLine
 {
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
 
-using Effect = std::variant<ConnectGateway, CloseLink, SendToGateway, RunTask, CountReason, Note>;
+using Effect =
+        std::variant<ConnectGateway, CloseLink, SendToGateway, RunTask, CountReason, LogLine>;
 /// Carried out in order.
 using Effects = std::vector<Effect>;
 
--- a/Source/Core/Agent/Fence.cpp
+++ b/Source/Core/Agent/Fence.cpp
@@ -15,7 +15,7 @@
 }
 
 /// Gateways are replaced daily: without this the map would grow for as long as the agent lives.
-void forgetDeparted(Fence &fence)
+void removeDeparted(Fence &fence)
 {
     for (auto entry = fence.answeredHelloMs.begin(); entry != fence.answeredHelloMs.end();) {
         entry = onRoster(fence.roster, entry->first) ? std::next(entry)
@@ -25,7 +25,7 @@
 
 } // namespace
 
-RaisedShards adoptShards(Fence &fence, const std::vector<Schema::ShardOwner> &shards)
+RaisedShards mergeShards(Fence &fence, const std::vector<Schema::ShardOwner> &shards)
 {
     RaisedShards raised;
     for (const Schema::ShardOwner &entry : shards) {
@@ -39,18 +39,18 @@
     return raised;
 }
 
-RaisedShards adoptTable(Fence &fence, const Schema::OwnershipTable &table)
+RaisedShards mergeTable(Fence &fence, const Schema::OwnershipTable &table)
 {
-    RaisedShards raised = adoptShards(fence, table.shards);
+    RaisedShards raised = mergeShards(fence, table.shards);
     if (table.version > fence.tableVersion) {
         fence.tableVersion = table.version;
         fence.roster = table.roster;
-        forgetDeparted(fence);
+        removeDeparted(fence);
     }
     return raised;
 }
 
-void noteAnswer(Fence &fence, const Schema::GatewayPong &pong, std::int64_t sentMs)
+void recordHelloAnswer(Fence &fence, const Schema::GatewayPong &pong, std::int64_t sentMs)
 {
     if (pong.tableVersion > fence.tableVersion) {
         return;
@@ -63,19 +63,19 @@
 
 std::optional<std::int64_t> leaseEndMs(const Fence &fence)
 {
-    std::vector<std::int64_t> heard;
+    std::vector<std::int64_t> answeredMs;
     for (const Schema::Member &member : fence.roster) {
         const auto answered = fence.answeredHelloMs.find(member.instance);
         if (answered != fence.answeredHelloMs.end()) {
-            heard.push_back(answered->second);
+            answeredMs.push_back(answered->second);
         }
     }
     const std::size_t majority = fence.roster.size() / 2 + 1;
-    if (heard.size() < majority) {
+    if (answeredMs.size() < majority) {
         return std::nullopt;
     }
-    std::sort(heard.begin(), heard.end(), std::greater<>());
-    return heard[majority - 1] + fence.leaseMs;
+    std::sort(answeredMs.begin(), answeredMs.end(), std::greater<>());
+    return answeredMs[majority - 1] + fence.leaseMs;
 }
 
 std::int64_t leaseLeftMs(const Fence &fence, Common::Moment now)
--- a/Source/Core/Agent/Fence.h
+++ b/Source/Core/Agent/Fence.h
@@ -46,13 +46,13 @@
 /// Epochs are merged shard by shard and never fall, whatever the table's version: two gateways may
 /// have seen different handovers under the same version. The roster is taken from newer tables
 /// only.
-RaisedShards adoptTable(Fence &fence, const Schema::OwnershipTable &table);
-RaisedShards adoptShards(Fence &fence, const std::vector<Schema::ShardOwner> &shards);
+RaisedShards mergeTable(Fence &fence, const Schema::OwnershipTable &table);
+RaisedShards mergeShards(Fence &fence, const std::vector<Schema::ShardOwner> &shards);
 
 /// \a gateway has answered a hello sent at \a sentMs. Counted only when the fence has reached the
 /// table version that the answer names: an answer that renewed the lease without its epochs would
 /// let starts of a fenced owner through.
-void noteAnswer(Fence &fence, const Schema::GatewayPong &pong, std::int64_t sentMs);
+void recordHelloAnswer(Fence &fence, const Schema::GatewayPong &pong, std::int64_t sentMs);
 
 /// Steady time at which the lease ends; nothing where no majority was ever heard.
 std::optional<std::int64_t> leaseEndMs(const Fence &fence);
--- a/Source/Core/Agent/Links.cpp
+++ b/Source/Core/Agent/Links.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr std::int64_t FirstBackoffMs = 100;
-constexpr std::int64_t LongestBackoffMs = 5000;
+constexpr std::int64_t MinBackoffMs = 100;
+constexpr std::int64_t MaxBackoffMs = 5000;
 /// A gateway that answers nothing is closed for silence long before.
-constexpr std::size_t MostOpenHellos = 128;
+constexpr std::size_t MaxUnansweredHellos = 128;
 
 Endpoint &endpointAt(Links &links, const std::string &host, std::uint16_t port)
 {
@@ -24,7 +24,7 @@
 bool isSilent(const Links &links, const Endpoint &endpoint, Common::Moment now)
 {
     return endpoint.stage != LinkStage::Idle
-           && now.steadyMs - endpoint.heardMs >= links.options.silenceMs;
+           && now.steadyMs - endpoint.lastReceivedMs >= links.options.silenceMs;
 }
 
 bool isWanted(const Links &links, const Endpoint &endpoint)
@@ -36,17 +36,17 @@
 {
     endpoint.link = ++links.lastLink;
     endpoint.stage = LinkStage::Connecting;
-    endpoint.heardMs = now.steadyMs;
+    endpoint.lastReceivedMs = now.steadyMs;
     return {endpoint.link, endpoint.host, endpoint.port};
 }
 
-void forgetUnwanted(Links &links)
+void removeUnwanted(Links &links)
 {
     for (auto entry = links.endpoints.begin(); entry != links.endpoints.end();) {
         const Endpoint &endpoint = entry->second;
         const bool wanted = endpoint.fromSettings || endpoint.onRoster;
-        const bool forgotten = !wanted && endpoint.stage == LinkStage::Idle;
-        entry = forgotten ? links.endpoints.erase(entry) : std::next(entry);
+        const bool removed = !wanted && endpoint.stage == LinkStage::Idle;
+        entry = removed ? links.endpoints.erase(entry) : std::next(entry);
     }
 }
 
@@ -81,15 +81,15 @@
         if (isSilent(links, endpoint, now)) {
             effects.emplace_back(CloseLink{endpoint.link});
             effects.emplace_back(CountReason{LinkLossesCounter, Schema::Reason::ConnectionLost});
-            effects.emplace_back(Note{"link_silent", {{"gateway", entry.first}}});
-            noteClosed(links, endpoint, now);
+            effects.emplace_back(LogLine{"link_silent", {{"gateway", entry.first}}});
+            markClosed(links, endpoint, now);
         }
         if (endpoint.stage == LinkStage::Idle && endpoint.nextDialMs <= now.steadyMs
             && isWanted(links, endpoint)) {
             effects.emplace_back(dial(links, endpoint, now));
         }
     }
-    forgetUnwanted(links);
+    removeUnwanted(links);
     return effects;
 }
 
@@ -114,36 +114,36 @@
     return nullptr;
 }
 
-void noteOpened(Endpoint &endpoint, Common::Moment now)
+void markOpen(Endpoint &endpoint, Common::Moment now)
 {
     endpoint.stage = LinkStage::Open;
-    endpoint.heardMs = now.steadyMs;
+    endpoint.lastReceivedMs = now.steadyMs;
     endpoint.nextHelloMs = now.steadyMs;
 }
 
-void noteClosed(Links &links, Endpoint &endpoint, Common::Moment now)
+void markClosed(Links &links, Endpoint &endpoint, Common::Moment now)
 {
     endpoint.stage = LinkStage::Idle;
     endpoint.answered = false;
     endpoint.hellos.clear();
     endpoint.demand = 0;
-    endpoint.toldWindow = 0;
-    endpoint.backoffMs = std::clamp(endpoint.backoffMs * 2, FirstBackoffMs, LongestBackoffMs);
+    endpoint.sentWindow = 0;
+    endpoint.backoffMs = std::clamp(endpoint.backoffMs * 2, MinBackoffMs, MaxBackoffMs);
     std::uniform_int_distribution<std::int64_t> jitter(endpoint.backoffMs / 2, endpoint.backoffMs);
     endpoint.nextDialMs = now.steadyMs + jitter(links.random);
 }
 
-std::int64_t nextHello(Links &links, Endpoint &endpoint, Common::Moment now)
+std::int64_t nextHelloSequence(Links &links, Endpoint &endpoint, Common::Moment now)
 {
     endpoint.hellos.push_back({++links.lastSequence, now.steadyMs});
-    if (endpoint.hellos.size() > MostOpenHellos) {
+    if (endpoint.hellos.size() > MaxUnansweredHellos) {
         endpoint.hellos.pop_front();
     }
     endpoint.nextHelloMs = now.steadyMs + links.options.heartbeatMs;
     return links.lastSequence;
 }
 
-std::optional<std::int64_t> noteAnswered(Endpoint &endpoint, const Schema::GatewayPong &pong)
+std::optional<std::int64_t> recordPong(Endpoint &endpoint, const Schema::GatewayPong &pong)
 {
     endpoint.instance = pong.instance;
     endpoint.answered = true;
--- a/Source/Core/Agent/Links.h
+++ b/Source/Core/Agent/Links.h
@@ -39,7 +39,7 @@
     LinkNumber link = 0;
     std::int64_t nextDialMs = 0;
     std::int64_t backoffMs = 0;
-    std::int64_t heardMs = 0;
+    std::int64_t lastReceivedMs = 0;
     std::int64_t nextHelloMs = 0;
     /// Instance behind the open link, once it has answered; the last one before that.
     std::string instance;
@@ -47,7 +47,7 @@
     std::deque<SentHello> hellos;
     /// Tasks waiting there, and the window it was last told.
     std::int64_t demand = 0;
-    std::int64_t toldWindow = 0;
+    std::int64_t sentWindow = 0;
 };
 
 struct LinksOptions
@@ -77,15 +77,15 @@
 Endpoint *findLink(Links &links, LinkNumber link);
 Endpoint *findInstance(Links &links, const std::string &instance);
 
-void noteOpened(Endpoint &endpoint, Common::Moment now);
+void markOpen(Endpoint &endpoint, Common::Moment now);
 /// Dials again after a back-off with jitter: when a gateway returns, its agents do not all come in
 /// the same moment.
-void noteClosed(Links &links, Endpoint &endpoint, Common::Moment now);
+void markClosed(Links &links, Endpoint &endpoint, Common::Moment now);
 
 /// Sequence of the next hello on the endpoint, noted as sent now.
-std::int64_t nextHello(Links &links, Endpoint &endpoint, Common::Moment now);
+std::int64_t nextHelloSequence(Links &links, Endpoint &endpoint, Common::Moment now);
 /// Takes in who answers on the link. Gives the send time of the hello that was answered.
-std::optional<std::int64_t> noteAnswered(Endpoint &endpoint, const Schema::GatewayPong &pong);
+std::optional<std::int64_t> recordPong(Endpoint &endpoint, const Schema::GatewayPong &pong);
 /// True where the instance already answers on another link, reached by another address.
 bool isDuplicate(const Links &links, const Endpoint &endpoint);
 
--- a/Source/Core/Agent/Outcomes.cpp
+++ b/Source/Core/Agent/Outcomes.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::int64_t ExpirySpanMs = 1000;
+constexpr std::int64_t ExpiryBucketMs = 1000;
 /// Covers a small step of the wall clock while a refusal is remembered.
 constexpr std::int64_t RefusalSlackMs = 5000;
 constexpr std::size_t RefusalRoomFactor = 2;
@@ -14,12 +14,12 @@
 /// time.
 constexpr std::size_t KeptQuarters = 3;
 
-StartOrder orderOf(const Schema::StartTask &task)
+StartOrder startOrderOf(const Schema::StartTask &task)
 {
     return {task.epoch, task.attempt};
 }
 
-bool isOver(const TaskRecord &record)
+bool isEnded(const TaskRecord &record)
 {
     return record.stage == TaskStage::Ended;
 }
@@ -37,28 +37,28 @@
     return now.steadyMs + left + RefusalSlackMs;
 }
 
-void noteExpiry(Outcomes &outcomes, const TaskKey &key, TaskRecord &record)
+void scheduleExpiry(Outcomes &outcomes, const TaskKey &key, TaskRecord &record)
 {
-    if (!record.expiryNoted) {
-        outcomes.expiries[record.expiresMs / ExpirySpanMs + 1].push_back(&key);
-        record.expiryNoted = true;
+    if (!record.expiryScheduled) {
+        outcomes.expiries[record.expiresMs / ExpiryBucketMs + 1].push_back(&key);
+        record.expiryScheduled = true;
     }
 }
 
-void stopOwing(Outcomes &outcomes, const TaskKey &key, TaskRecord &record)
+void cancelReport(Outcomes &outcomes, const TaskKey &key, TaskRecord &record)
 {
-    if (record.owed) {
-        outcomes.due.erase({record.dueMs, &key});
-        record.owed = false;
+    if (record.unacked) {
+        outcomes.pendingReports.erase({record.dueMs, &key});
+        record.unacked = false;
     }
 }
 
-void owe(Outcomes &outcomes, const TaskKey &key, TaskRecord &record, std::int64_t dueMs)
+void scheduleReport(Outcomes &outcomes, const TaskKey &key, TaskRecord &record, std::int64_t dueMs)
 {
-    stopOwing(outcomes, key, record);
+    cancelReport(outcomes, key, record);
     record.dueMs = dueMs;
-    record.owed = true;
-    outcomes.due.insert({dueMs, &key});
+    record.unacked = true;
+    outcomes.pendingReports.insert({dueMs, &key});
 }
 
 /// Acknowledged results go first where memory is short: only a successor that asks could still want
@@ -72,7 +72,7 @@
                 return;
             }
             TaskRecord &record = outcomes.records.at(*key);
-            if (isOver(record) && !record.owed && !record.result.empty()) {
+            if (isEnded(record) && !record.unacked && !record.result.empty()) {
                 outcomes.resultBytes -= record.result.size();
                 record.result = {};
                 record.resultDropped = true;
@@ -97,22 +97,22 @@
     } else {
         record.expiresMs = now.steadyMs + outcomes.options.retentionMs;
     }
-    noteExpiry(outcomes, key, record);
-    owe(outcomes, key, record, now.steadyMs);
+    scheduleExpiry(outcomes, key, record);
+    scheduleReport(outcomes, key, record, now.steadyMs);
     if (outcomes.resultBytes > outcomes.options.maxResultBytes) {
         dropOldResults(outcomes);
     }
 }
 
 /// The node of \a task's record, made ready for a new start.
-Outcomes::Records::value_type &renewRecord(Outcomes &outcomes, const Schema::StartTask &task,
+Outcomes::Records::value_type &resetRecord(Outcomes &outcomes, const Schema::StartTask &task,
                                            Common::Moment now)
 {
     auto &node = *outcomes.records.try_emplace(TaskKey{task.job, task.index}).first;
     TaskRecord &record = node.second;
-    stopOwing(outcomes, node.first, record);
+    cancelReport(outcomes, node.first, record);
     record.shard = task.shard;
-    record.start = orderOf(task);
+    record.start = startOrderOf(task);
     record.notAfterMs = task.notAfterMs;
     record.changedMs = now.steadyMs;
     record.stage = TaskStage::Queued;
@@ -124,17 +124,17 @@
 
 } // namespace
 
-StartVerdict lookUp(const Outcomes &outcomes, const Schema::StartTask &task)
+StartStatus lookUpStart(const Outcomes &outcomes, const Schema::StartTask &task)
 {
     const auto found = outcomes.records.find({task.job, task.index});
     if (found == outcomes.records.end()) {
-        return StartVerdict::New;
+        return StartStatus::New;
     }
     if (mayHaveStarted(found->second)) {
-        return outcomes.options.repeatsRefused ? StartVerdict::Known : StartVerdict::New;
+        return outcomes.options.repeatsRefused ? StartStatus::Known : StartStatus::New;
     }
-    const bool refused = orderOf(task) <= found->second.refused;
-    return refused && outcomes.options.refusalsKept ? StartVerdict::Known : StartVerdict::New;
+    const bool refused = startOrderOf(task) <= found->second.refused;
+    return refused && outcomes.options.refusalsKept ? StartStatus::Known : StartStatus::New;
 }
 
 bool hasRoom(const Outcomes &outcomes)
@@ -154,12 +154,12 @@
     return found == outcomes.records.end() ? nullptr : &found->second;
 }
 
-void noteQueued(Outcomes &outcomes, const Schema::StartTask &task, Common::Moment now)
+void recordQueued(Outcomes &outcomes, const Schema::StartTask &task, Common::Moment now)
 {
-    renewRecord(outcomes, task, now);
+    resetRecord(outcomes, task, now);
 }
 
-void noteRunning(Outcomes &outcomes, const TaskKey &key, Common::Moment now)
+void recordRunning(Outcomes &outcomes, const TaskKey &key, Common::Moment now)
 {
     TaskRecord *record = findRecord(outcomes, key);
     Common::invariant(record != nullptr && record->stage == TaskStage::Queued,
@@ -170,20 +170,20 @@
     record->changedMs = now.steadyMs;
 }
 
-void noteRefused(Outcomes &outcomes, const Schema::StartTask &task, Schema::Reason reason,
-                 Common::Moment now)
+void recordRefused(Outcomes &outcomes, const Schema::StartTask &task, Schema::Reason reason,
+                   Common::Moment now)
 {
-    auto &node = renewRecord(outcomes, task, now);
+    auto &node = resetRecord(outcomes, task, now);
     TaskEnd end;
     end.phase = Schema::TaskPhase::NotStarted;
     end.reason = reason;
     endRecord(outcomes, node.first, node.second, std::move(end), now);
 }
 
-void noteEnded(Outcomes &outcomes, const TaskKey &key, TaskEnd end, Common::Moment now)
+void recordEnded(Outcomes &outcomes, const TaskKey &key, TaskEnd end, Common::Moment now)
 {
     const auto found = outcomes.records.find(key);
-    Common::invariant(found != outcomes.records.end() && !isOver(found->second),
+    Common::invariant(found != outcomes.records.end() && !isEnded(found->second),
                       "a task ends once and is remembered until then", key.job);
     endRecord(outcomes, found->first, found->second, std::move(end), now);
 }
@@ -191,42 +191,42 @@
 bool acknowledge(Outcomes &outcomes, const TaskKey &key, std::int64_t attempt)
 {
     const auto found = outcomes.records.find(key);
-    if (found == outcomes.records.end() || !found->second.owed
+    if (found == outcomes.records.end() || !found->second.unacked
         || found->second.start.attempt > attempt) {
         return false;
     }
-    stopOwing(outcomes, found->first, found->second);
+    cancelReport(outcomes, found->first, found->second);
     return true;
 }
 
-void oweAt(Outcomes &outcomes, const TaskKey &key, std::int64_t dueMs)
+void scheduleReportAt(Outcomes &outcomes, const TaskKey &key, std::int64_t dueMs)
 {
     const auto found = outcomes.records.find(key);
-    if (found != outcomes.records.end() && isOver(found->second)) {
-        owe(outcomes, found->first, found->second, dueMs);
+    if (found != outcomes.records.end() && isEnded(found->second)) {
+        scheduleReport(outcomes, found->first, found->second, dueMs);
     }
 }
 
-std::size_t forgetExpired(Outcomes &outcomes, Common::Moment now)
+std::size_t removeExpired(Outcomes &outcomes, Common::Moment now)
 {
     std::size_t unacknowledged = 0;
     while (!outcomes.expiries.empty()
-           && outcomes.expiries.begin()->first * ExpirySpanMs <= now.steadyMs) {
+           && outcomes.expiries.begin()->first * ExpiryBucketMs <= now.steadyMs) {
         const std::vector<const TaskKey *> keys = std::move(outcomes.expiries.begin()->second);
         outcomes.expiries.erase(outcomes.expiries.begin());
         for (const TaskKey *key : keys) {
             const auto found = outcomes.records.find(*key);
             TaskRecord &record = found->second;
-            record.expiryNoted = false;
-            if (!isOver(record)) {
+            record.expiryScheduled = false;
+            if (!isEnded(record)) {
                 continue;
             }
             if (record.expiresMs > now.steadyMs) {
-                noteExpiry(outcomes, found->first, record);
+                scheduleExpiry(outcomes, found->first, record);
                 continue;
             }
-            unacknowledged += record.owed ? 1 : 0;
-            stopOwing(outcomes, found->first, record);
+            unacknowledged += record.unacked ? 1 : 0;
+            cancelReport(outcomes, found->first, record);
             outcomes.resultBytes -= record.result.size();
             outcomes.records.erase(found);
         }
--- a/Source/Core/Agent/Outcomes.h
+++ b/Source/Core/Agent/Outcomes.h
@@ -55,9 +55,9 @@
     Schema::TaskPhase phase = Schema::TaskPhase::Running;
     Schema::Reason reason = Schema::Reason::None;
     bool resultDropped = false;
-    bool owed = false;
+    bool unacked = false;
     bool runningReported = false;
-    bool expiryNoted = false;
+    bool expiryScheduled = false;
 };
 
 struct OutcomesOptions
@@ -78,23 +78,23 @@
 struct Outcomes
 {
     using Records = std::unordered_map<TaskKey, TaskRecord, TaskKeyHash>;
-    using DueEntry = std::pair<std::int64_t, const TaskKey *>;
+    using PendingReport = std::pair<std::int64_t, const TaskKey *>;
 
     OutcomesOptions options;
     Records records;
     /// Final states owed to an owner, by the time of their next report. Keys live in records.
-    std::set<DueEntry> due;
+    std::set<PendingReport> pendingReports;
     /// Records by the second in which they may be forgotten.
     std::map<std::int64_t, std::vector<const TaskKey *>> expiries;
     std::size_t resultBytes = 0;
 };
 
 /// What the memory says to a start message.
-enum class StartVerdict { New, Known };
+enum class StartStatus { New, Known };
 
 /// Known: the task may have started, or this start or a later one was refused. It must not be
 /// started.
-StartVerdict lookUp(const Outcomes &outcomes, const Schema::StartTask &task);
+StartStatus lookUpStart(const Outcomes &outcomes, const Schema::StartTask &task);
 
 bool hasRoom(const Outcomes &outcomes);
 /// Room for remembering refusals lasts longer than that for accepting tasks: a refusal that cannot
@@ -104,13 +104,13 @@
 TaskRecord *findRecord(Outcomes &outcomes, const TaskKey &key);
 
 /// The task waits in the agent's queue.
-void noteQueued(Outcomes &outcomes, const Schema::StartTask &task, Common::Moment now);
+void recordQueued(Outcomes &outcomes, const Schema::StartTask &task, Common::Moment now);
 /// The task is about to be handed to the backend server. Breaks an invariant where that would be
 /// its second start, or a start that was refused.
-void noteRunning(Outcomes &outcomes, const TaskKey &key, Common::Moment now);
+void recordRunning(Outcomes &outcomes, const TaskKey &key, Common::Moment now);
 /// A start that was refused before it was accepted.
-void noteRefused(Outcomes &outcomes, const Schema::StartTask &task, Schema::Reason reason,
-                 Common::Moment now);
+void recordRefused(Outcomes &outcomes, const Schema::StartTask &task, Schema::Reason reason,
+                   Common::Moment now);
 
 struct TaskEnd
 {
@@ -120,17 +120,17 @@
     double runMs = 0;
 };
 /// An accepted task has its final phase, which is now owed to its owner.
-void noteEnded(Outcomes &outcomes, const TaskKey &key, TaskEnd end, Common::Moment now);
+void recordEnded(Outcomes &outcomes, const TaskKey &key, TaskEnd end, Common::Moment now);
 
 /// The owner has the final state of \a key, of an attempt up to \a attempt. False where there is
 /// nothing to acknowledge: an owner must not acknowledge states that are not final.
 bool acknowledge(Outcomes &outcomes, const TaskKey &key, std::int64_t attempt);
 
 /// Puts the next report of a final state at \a dueMs, also where it was acknowledged before.
-void oweAt(Outcomes &outcomes, const TaskKey &key, std::int64_t dueMs);
+void scheduleReportAt(Outcomes &outcomes, const TaskKey &key, std::int64_t dueMs);
 
 /// Forgets what is past its time; returns how many final states were never acknowledged.
-std::size_t forgetExpired(Outcomes &outcomes, Common::Moment now);
+std::size_t removeExpired(Outcomes &outcomes, Common::Moment now);
 
 Schema::TaskState stateOf(const TaskKey &key, const TaskRecord &record);
 
--- a/Source/Core/Agent/Reports.cpp
+++ b/Source/Core/Agent/Reports.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 /// Frames stay well below a link's bound on unsent bytes.
-constexpr std::size_t MostStatesInFrame = 2000;
-constexpr std::size_t MostResultBytesInFrame = 1U << 20U;
+constexpr std::size_t MaxStatesInFrame = 2000;
+constexpr std::size_t MaxResultBytesInFrame = 1U << 20U;
 /// A task that ends sooner is reported once. Well below the gateways' startAckMs.
-constexpr std::int64_t LongestRunningReportDelayMs = 200;
+constexpr std::int64_t MaxRunningReportDelayMs = 200;
 
 using StatesByLink = std::map<LinkNumber, std::vector<Schema::TaskState>>;
 
 std::int64_t runningReportDelayMs(const AgentState &state)
 {
-    return std::min(LongestRunningReportDelayMs, state.links.options.heartbeatMs / 2);
+    return std::min(MaxRunningReportDelayMs, state.links.options.heartbeatMs / 2);
 }
 
 std::int64_t heldTasks(const AgentState &state)
@@ -64,7 +64,7 @@
     report.window = window;
     report.running = heldTasks(state);
     report.states = std::move(states);
-    endpoint.toldWindow = window;
+    endpoint.sentWindow = window;
     SendToGateway send{endpoint.link, {}};
     send.frame = frameOf(Schema::FrameType::TaskStates);
     send.frame.taskStates = std::move(report);
@@ -78,7 +78,7 @@
 
 bool isFrameFull(const std::vector<Schema::TaskState> &states, std::size_t resultBytes)
 {
-    return states.size() >= MostStatesInFrame || resultBytes >= MostResultBytesInFrame;
+    return states.size() >= MaxStatesInFrame || resultBytes >= MaxResultBytesInFrame;
 }
 
 Effects makeReports(AgentState &state, Endpoint &endpoint, std::int64_t window,
@@ -100,24 +100,24 @@
 }
 
 /// Final states whose time has come. One whose owner is not reached is tried again later.
-void collectDue(AgentState &state, Common::Moment now, StatesByLink &states)
+void collectDueReports(AgentState &state, Common::Moment now, StatesByLink &states)
 {
     Outcomes &outcomes = state.outcomes;
-    const Outcomes::DueEntry later{now.steadyMs + 1, nullptr};
-    const std::vector<Outcomes::DueEntry> dueNow(outcomes.due.begin(),
-                                                 outcomes.due.lower_bound(later));
-    for (const Outcomes::DueEntry &entry : dueNow) {
+    const Outcomes::PendingReport later{now.steadyMs + 1, nullptr};
+    const std::vector<Outcomes::PendingReport> dueNow(outcomes.pendingReports.begin(),
+                                                      outcomes.pendingReports.lower_bound(later));
+    for (const Outcomes::PendingReport &entry : dueNow) {
         const TaskRecord &record = outcomes.records.at(*entry.second);
         const Endpoint *owner = findInstance(state.links, ownerOf(state.fence, record.shard));
         if (owner != nullptr) {
             states[owner->link].push_back(stateOf(*entry.second, record));
         }
-        oweAt(outcomes, *entry.second, now.steadyMs + outcomes.options.repeatReportMs);
+        scheduleReportAt(outcomes, *entry.second, now.steadyMs + outcomes.options.repeatReportMs);
     }
 }
 
 /// Running and queued tasks not yet reported: after the delay, or with a frame that goes anyway.
-void collectRunning(AgentState &state, Common::Moment now, StatesByLink &states)
+void collectRunningReports(AgentState &state, Common::Moment now, StatesByLink &states)
 {
     const auto collect = [&](const TaskKey &key) {
         TaskRecord *record = findRecord(state.outcomes, key);
@@ -144,9 +144,9 @@
 
 /// A gateway with waiting tasks whose window has grown while slots are free is told at once:
 /// waiting for the next heartbeat would leave the slots idle.
-bool shouldTellWindow(const AgentState &state, const Endpoint &endpoint, std::int64_t window)
+bool shouldSendWindow(const AgentState &state, const Endpoint &endpoint, std::int64_t window)
 {
-    return endpoint.answered && endpoint.demand > 0 && window > endpoint.toldWindow
+    return endpoint.answered && endpoint.demand > 0 && window > endpoint.sentWindow
            && static_cast<std::int64_t>(state.slots.running.size()) < state.slots.slots;
 }
 
@@ -170,8 +170,8 @@
 Effects flushReports(AgentState &state, Common::Moment now)
 {
     StatesByLink states = std::exchange(state.directReplies, {});
-    collectDue(state, now, states);
-    collectRunning(state, now, states);
+    collectDueReports(state, now, states);
+    collectRunningReports(state, now, states);
     Effects effects;
     const auto windows = windowsByLink(state);
     for (auto &entry : state.links.endpoints) {
@@ -183,15 +183,15 @@
         const auto own = states.find(endpoint.link);
         if (own != states.end()) {
             append(effects, makeReports(state, endpoint, window->second, std::move(own->second)));
-        } else if (shouldTellWindow(state, endpoint, window->second)) {
+        } else if (shouldSendWindow(state, endpoint, window->second)) {
             effects.emplace_back(makeReport(state, endpoint, window->second, {}));
         }
     }
     return effects;
 }
 
-Effects answerAsk(AgentState &state, LinkNumber link, const Schema::AskTasks &ask,
-                  Common::Moment now)
+Effects answerAskTasks(AgentState &state, LinkNumber link, const Schema::AskTasks &ask,
+                       Common::Moment now)
 {
     Endpoint *endpoint = findLink(state.links, link);
     if (endpoint == nullptr) {
@@ -208,8 +208,9 @@
         }
         states.push_back(stateOf(key, record));
         record.runningReported = true;
-        if (record.owed) {
-            oweAt(state.outcomes, key, now.steadyMs + state.outcomes.options.repeatReportMs);
+        if (record.unacked) {
+            scheduleReportAt(state.outcomes, key,
+                             now.steadyMs + state.outcomes.options.repeatReportMs);
         }
     }
     // An owner takes a task that the frame with answerTo does not list for not started, unless an
@@ -221,16 +222,16 @@
     return effects;
 }
 
-void oweAgain(AgentState &state, const std::string &gateway, Common::Moment now)
+void makeReportsDue(AgentState &state, const std::string &gateway, Common::Moment now)
 {
-    std::vector<TaskKey> owed;
-    for (const Outcomes::DueEntry &entry : state.outcomes.due) {
+    std::vector<TaskKey> unacked;
+    for (const Outcomes::PendingReport &entry : state.outcomes.pendingReports) {
         if (ownerOf(state.fence, state.outcomes.records.at(*entry.second).shard) == gateway) {
-            owed.push_back(*entry.second);
+            unacked.push_back(*entry.second);
         }
     }
-    for (const TaskKey &key : owed) {
-        oweAt(state.outcomes, key, now.steadyMs);
+    for (const TaskKey &key : unacked) {
+        scheduleReportAt(state.outcomes, key, now.steadyMs);
     }
     for (const TaskKey &key : state.slots.running) {
         TaskRecord *record = findRecord(state.outcomes, key);
@@ -240,8 +241,8 @@
     }
 }
 
-void takeAcknowledgement(AgentState &state, const std::string &gateway,
-                         const Schema::TaskRefs &refs)
+void handleAcknowledgement(AgentState &state, const std::string &gateway,
+                           const Schema::TaskRefs &refs)
 {
     for (const Schema::TaskRef &ref : refs.tasks) {
         const TaskKey key{ref.job, ref.index};
@@ -262,11 +263,11 @@
         if (endpoint.stage != LinkStage::Open || (!atOnce && endpoint.nextHelloMs > now.steadyMs)) {
             continue;
         }
-        const std::int64_t sequence = nextHello(state.links, endpoint, now);
-        endpoint.toldWindow = windows.at(endpoint.link);
+        const std::int64_t sequence = nextHelloSequence(state.links, endpoint, now);
+        endpoint.sentWindow = windows.at(endpoint.link);
         SendToGateway send{endpoint.link, {}};
         send.frame = frameOf(Schema::FrameType::AgentHello);
-        send.frame.agentHello = makeHello(state, sequence, endpoint.toldWindow);
+        send.frame.agentHello = makeHello(state, sequence, endpoint.sentWindow);
         effects.emplace_back(std::move(send));
     }
     return effects;
--- a/Source/Core/Agent/Reports.h
+++ b/Source/Core/Agent/Reports.h
@@ -18,16 +18,16 @@
 /// absent was never started here and never will be under an older epoch, nor from a message sent on
 /// an older link. A long answer goes in several frames, of which only the last carries answerTo;
 /// all tasks that run are listed in that one.
-Effects answerAsk(AgentState &state, LinkNumber link, const Schema::AskTasks &ask,
-                  Common::Moment now);
+Effects answerAskTasks(AgentState &state, LinkNumber link, const Schema::AskTasks &ask,
+                       Common::Moment now);
 
 /// Everything owed to a gateway whose link is new is due again: the old link may have lost it.
-void oweAgain(AgentState &state, const std::string &gateway, Common::Moment now);
+void makeReportsDue(AgentState &state, const std::string &gateway, Common::Moment now);
 
 /// Drops what the gateway has acknowledged, if it owns the tasks' shards: what a former owner
 /// learns its successor may not know.
-void takeAcknowledgement(AgentState &state, const std::string &gateway,
-                         const Schema::TaskRefs &refs);
+void handleAcknowledgement(AgentState &state, const std::string &gateway,
+                           const Schema::TaskRefs &refs);
 
 /// Hellos that are due; all links at once where \a atOnce.
 Effects sendHellos(AgentState &state, bool atOnce, Common::Moment now);
--- a/Source/Core/Agent/Starts.cpp
+++ b/Source/Core/Agent/Starts.cpp
@@ -23,13 +23,13 @@
     TaskEnd end;
     end.phase = Schema::TaskPhase::NotStarted;
     end.reason = reason;
-    noteEnded(state.outcomes, keyOf(task), std::move(end), now);
+    recordEnded(state.outcomes, keyOf(task), std::move(end), now);
     effects.emplace_back(refusalCount(reason));
 }
 
 /// Ends every queued task for which \a reasonFor gives a reason, keeping the order of the others.
 template <typename ReasonFor>
-Effects sweepQueue(AgentState &state, Common::Moment now, ReasonFor reasonFor)
+Effects endQueuedIf(AgentState &state, Common::Moment now, ReasonFor reasonFor)
 {
     Effects effects;
     std::deque<Schema::StartTask> kept;
@@ -65,14 +65,14 @@
 
 /// A start under a higher epoch than known proves that its sender owns the shard: it serves only
 /// once its claim is acknowledged.
-Effects learnEpoch(AgentState &state, const std::string &gateway, const Schema::StartTask &task,
-                   Common::Moment now)
+Effects updateEpochFromStart(AgentState &state, const std::string &gateway,
+                             const Schema::StartTask &task, Common::Moment now)
 {
     if (gateway.empty() || task.epoch <= epochOf(state.fence, task.shard)) {
         return {};
     }
-    const RaisedShards raised = adoptShards(state.fence, {{task.epoch, gateway, task.shard}});
-    return followNewEpochs(state, raised, now);
+    const RaisedShards raised = mergeShards(state.fence, {{task.epoch, gateway, task.shard}});
+    return applyRaisedEpochs(state, raised, now);
 }
 
 void replyFenced(AgentState &state, LinkNumber link, const Schema::StartTask &task)
@@ -93,9 +93,9 @@
     if (reason == Schema::Reason::EpochFenced) {
         replyFenced(state, link, task);
     } else if (hasRoomForRefusal(state.outcomes)) {
-        noteRefused(state.outcomes, task, reason, now);
+        recordRefused(state.outcomes, task, reason, now);
     } else {
-        return {Note{"refusal_not_remembered", {{"job", task.job}}}};
+        return {LogLine{"refusal_not_remembered", {{"job", task.job}}}};
     }
     return {refusalCount(reason)};
 }
@@ -103,11 +103,11 @@
 Effects acceptStart(AgentState &state, LinkNumber link, const std::string &gateway,
                     const Schema::StartTask &task, Common::Moment now)
 {
-    Effects effects = learnEpoch(state, gateway, task, now);
-    if (lookUp(state.outcomes, task) == StartVerdict::Known) {
+    Effects effects = updateEpochFromStart(state, gateway, task, now);
+    if (lookUpStart(state.outcomes, task) == StartStatus::Known) {
         TaskRecord *record = findRecord(state.outcomes, keyOf(task));
         record->runningReported = false;
-        oweAt(state.outcomes, keyOf(task), now.steadyMs);
+        scheduleReportAt(state.outcomes, keyOf(task), now.steadyMs);
         effects.emplace_back(CountReason{RepeatsCounter, record->reason});
         return effects;
     }
@@ -117,7 +117,7 @@
         append(effects, refuse(state, link, task, reason, now));
         return effects;
     }
-    noteQueued(state.outcomes, task, now);
+    recordQueued(state.outcomes, task, now);
     state.slots.queue.push_back(task);
     append(effects, startQueued(state, now));
     return effects;
@@ -127,9 +127,9 @@
 
 Schema::Reason refusalOf(const AgentState &state, const Schema::StartTask &task, Common::Moment now)
 {
-    const Schema::Reason unfit = checkBeforeStart(state, task, now);
-    if (unfit != Schema::Reason::None) {
-        return unfit;
+    const Schema::Reason failedCheck = checkBeforeStart(state, task, now);
+    if (failedCheck != Schema::Reason::None) {
+        return failedCheck;
     }
     if (isDraining(state)) {
         return Schema::Reason::AgentDraining;
@@ -162,7 +162,7 @@
             endQueued(state, task, reason, now, effects);
             continue;
         }
-        noteRunning(state.outcomes, keyOf(task), now);
+        recordRunning(state.outcomes, keyOf(task), now);
         slots.running.insert(keyOf(task));
         Schema::RunTask run;
         run.job = task.job;
@@ -185,7 +185,7 @@
     }
     const TaskRecord *record = findRecord(state.outcomes, key);
     end.runMs = static_cast<double>(now.steadyMs - record->changedMs);
-    noteEnded(state.outcomes, key, std::move(end), now);
+    recordEnded(state.outcomes, key, std::move(end), now);
     append(effects, startQueued(state, now));
     return effects;
 }
@@ -196,35 +196,35 @@
     for (const Schema::TaskRef &ref : refs.tasks) {
         cancelled.insert({ref.job, ref.index});
     }
-    return sweepQueue(state, now, [&](const Schema::StartTask &task) {
+    return endQueuedIf(state, now, [&](const Schema::StartTask &task) {
         return cancelled.count(keyOf(task)) != 0 ? Schema::Reason::Cancelled : Schema::Reason::None;
     });
 }
 
 Effects returnQueued(AgentState &state, Schema::Reason reason, Common::Moment now)
 {
-    return sweepQueue(state, now, [&](const Schema::StartTask &) { return reason; });
+    return endQueuedIf(state, now, [&](const Schema::StartTask &) { return reason; });
 }
 
-Effects followNewEpochs(AgentState &state, const RaisedShards &raised, Common::Moment now)
+Effects applyRaisedEpochs(AgentState &state, const RaisedShards &raised, Common::Moment now)
 {
     if (raised.empty()) {
         return {};
     }
-    Effects effects = sweepQueue(state, now, [&](const Schema::StartTask &task) {
+    Effects effects = endQueuedIf(state, now, [&](const Schema::StartTask &task) {
         const bool fenced =
                 state.fence.epochsChecked && task.epoch < epochOf(state.fence, task.shard);
         return fenced ? Schema::Reason::EpochFenced : Schema::Reason::None;
     });
     const std::unordered_set<std::int64_t> shards(raised.begin(), raised.end());
     std::vector<TaskKey> moved;
-    for (const Outcomes::DueEntry &entry : state.outcomes.due) {
+    for (const Outcomes::PendingReport &entry : state.outcomes.pendingReports) {
         if (shards.count(state.outcomes.records.at(*entry.second).shard) != 0) {
             moved.push_back(*entry.second);
         }
     }
     for (const TaskKey &key : moved) {
-        oweAt(state.outcomes, key, now.steadyMs);
+        scheduleReportAt(state.outcomes, key, now.steadyMs);
     }
     for (const TaskKey &key : state.slots.running) {
         TaskRecord *record = findRecord(state.outcomes, key);
--- a/Source/Core/Agent/Starts.h
+++ b/Source/Core/Agent/Starts.h
@@ -27,7 +27,7 @@
 Effects returnQueued(AgentState &state, Schema::Reason reason, Common::Moment now);
 
 /// Ends queued tasks of older epochs and turns the reports of the shards to their new owner.
-Effects followNewEpochs(AgentState &state, const RaisedShards &raised, Common::Moment now);
+Effects applyRaisedEpochs(AgentState &state, const RaisedShards &raised, Common::Moment now);
 
 /// Why a start would be refused now; None where it would be accepted.
 Schema::Reason refusalOf(const AgentState &state, const Schema::StartTask &task,
--- a/Source/Core/Agent/Windows.cpp
+++ b/Source/Core/Agent/Windows.cpp
@@ -8,42 +8,43 @@
 
 namespace {
 
-struct Want
+struct SlotRequest
 {
     std::string gateway;
     std::int64_t amount = 0;
 };
 
-std::vector<Want> smallestFirst(const Demands &demands)
+std::vector<SlotRequest> smallestFirst(const Demands &demands)
 {
-    std::vector<Want> wants;
+    std::vector<SlotRequest> requests;
     for (const auto &[gateway, demand] : demands) {
-        wants.push_back({gateway, demand.held + demand.waiting});
+        requests.push_back({gateway, demand.held + demand.waiting});
     }
-    std::stable_sort(wants.begin(), wants.end(), [](const Want &left, const Want &right) {
-        return left.amount < right.amount;
-    });
-    return wants;
+    std::stable_sort(requests.begin(), requests.end(),
+                     [](const SlotRequest &left, const SlotRequest &right) {
+                         return left.amount < right.amount;
+                     });
+    return requests;
 }
 
 } // namespace
 
 Windows splitSlots(std::int64_t slots, const Demands &demands)
 {
-    const std::vector<Want> wants = smallestFirst(demands);
-    std::int64_t wantedInAll = 0;
-    for (const Want &want : wants) {
-        wantedInAll += want.amount;
+    const std::vector<SlotRequest> requests = smallestFirst(demands);
+    std::int64_t totalRequested = 0;
+    for (const SlotRequest &request : requests) {
+        totalRequested += request.amount;
     }
     Windows windows;
     std::int64_t left = slots;
-    auto sharers = static_cast<std::int64_t>(wants.size());
-    for (const Want &want : wants) {
-        const std::int64_t share = std::min(want.amount, left / sharers);
-        const std::int64_t unwantedByOthers = slots - (wantedInAll - want.amount);
-        windows[want.gateway] = std::max({share, unwantedByOthers, std::int64_t{1}});
+    auto remainingGateways = static_cast<std::int64_t>(requests.size());
+    for (const SlotRequest &request : requests) {
+        const std::int64_t share = std::min(request.amount, left / remainingGateways);
+        const std::int64_t unusedByOthers = slots - (totalRequested - request.amount);
+        windows[request.gateway] = std::max({share, unusedByOthers, std::int64_t{1}});
         left -= share;
-        --sharers;
+        --remainingGateways;
     }
     return windows;
 }
--- a/Source/UnitTests/Agent/AgentBench.cpp
+++ b/Source/UnitTests/Agent/AgentBench.cpp
@@ -163,7 +163,7 @@
                 static_cast<double>(remembered) / count);
     Schema::AskTasks ask{"ask", {{2, "g2", AgentFixture::Shard}}};
     const double micros =
-            microsOf([&] { Agent::answerAsk(site.state, site.linkOf("g2"), ask, site.now); });
+            microsOf([&] { Agent::answerAskTasks(site.state, site.linkOf("g2"), ask, site.now); });
     std::printf("ask_tasks_us_per_remembered_task=%.2f\n", micros / count);
 }
 
--- a/Source/UnitTests/Agent/AgentFixture.cpp
+++ b/Source/UnitTests/Agent/AgentFixture.cpp
@@ -222,7 +222,7 @@
 {
     const auto *endpoint =
             Agent::findInstance(const_cast<Agent::Links &>(this->state.links), gateway);
-    return endpoint == nullptr ? 0 : endpoint->toldWindow;
+    return endpoint == nullptr ? 0 : endpoint->sentWindow;
 }
 
 int AgentFixture::startsOf(const std::string &job) const
--- a/Source/UnitTests/Agent/FenceTest.cpp
+++ b/Source/UnitTests/Agent/FenceTest.cpp
@@ -123,10 +123,10 @@
     Schema::GatewayPong pong;
     pong.instance = "g1";
     pong.tableVersion = site.table.version + 1;
-    Agent::noteAnswer(site.state.fence, pong, site.now.steadyMs + 100);
+    Agent::recordHelloAnswer(site.state.fence, pong, site.now.steadyMs + 100);
     CHECK(Agent::leaseEndMs(site.state.fence) == before);
     pong.tableVersion = site.table.version;
-    Agent::noteAnswer(site.state.fence, pong, site.now.steadyMs + 100);
+    Agent::recordHelloAnswer(site.state.fence, pong, site.now.steadyMs + 100);
     CHECK(Agent::leaseEndMs(site.state.fence) > before);
 }
 
@@ -176,10 +176,10 @@
     Schema::OwnershipTable table;
     table.version = 10;
     table.shards = {{5, "g1", 0}, {6, "g2", 1}};
-    CHECK(Agent::adoptTable(fence, table).size() == 2);
+    CHECK(Agent::mergeTable(fence, table).size() == 2);
     table.version = 9;
     table.shards = {{4, "g3", 0}, {7, "g3", 1}};
-    CHECK(Agent::adoptTable(fence, table) == Agent::RaisedShards{1});
+    CHECK(Agent::mergeTable(fence, table) == Agent::RaisedShards{1});
     CHECK(fence.tableVersion == 10);
     CHECK(Agent::ownerOf(fence, 0) == "g1");
     CHECK(Agent::ownerOf(fence, 1) == "g3");
--- a/Source/UnitTests/Agent/LinksTest.cpp
+++ b/Source/UnitTests/Agent/LinksTest.cpp
@@ -51,7 +51,7 @@
     Agent::Endpoint endpoint;
     for (int i = 0; i < 20; ++i) {
         endpoint.backoffMs = 5000;
-        Agent::noteClosed(site.state.links, endpoint, site.now);
+        Agent::markClosed(site.state.links, endpoint, site.now);
         delays.insert(endpoint.nextDialMs - site.now.steadyMs);
     }
     CHECK(*delays.begin() >= 2500);
--- a/Source/UnitTests/Agent/OutcomesTest.cpp
+++ b/Source/UnitTests/Agent/OutcomesTest.cpp
@@ -146,7 +146,7 @@
     Agent::TaskEnd end;
     end.phase = Schema::TaskPhase::NotStarted;
     end.reason = Schema::Reason::Cancelled;
-    Agent::noteEnded(site.state.outcomes, {"task", 0}, end, site.now);
+    Agent::recordEnded(site.state.outcomes, {"task", 0}, end, site.now);
     CHECK_FALSE(Agent::acknowledge(site.state.outcomes, {"task", 0}, 1));
     CHECK(Agent::acknowledge(site.state.outcomes, {"task", 0}, 2));
 }
@@ -265,6 +265,6 @@
     CHECK(site.state.outcomes.records.size() == 1);
     site.pass(3000);
     CHECK(site.state.outcomes.records.empty());
-    CHECK(site.state.outcomes.due.empty());
+    CHECK(site.state.outcomes.pendingReports.empty());
     CHECK(site.state.outcomes.resultBytes == 0);
 }
--- a/Source/UnitTests/Dispatch/Ownership/SiteWorld.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/SiteWorld.cpp
@@ -185,9 +185,9 @@
             return;
         }
         if (pong.table) {
-            Agent::adoptTable(agent.fence, *pong.table);
+            Agent::mergeTable(agent.fence, *pong.table);
         }
-        Agent::noteAnswer(agent.fence, pong, sentMs);
+        Agent::recordHelloAnswer(agent.fence, pong, sentMs);
     });
 }
 
