--- a/Source/Core/Agent/Agent.h
+++ b/Source/Core/Agent/Agent.h
@@ -13,5 +13,5 @@
 #include "Agent/Starts.h"
 #include "Agent/Windows.h"
 
-/// Public header of the agent library: what the process beside each backend server decides, and the
-/// daemon around those decisions.
+/// Public header of the agent library: the state machine of the process that runs beside each
+/// backend server, and the daemon that drives it.
--- a/Source/Core/Agent/AgentCore.cpp
+++ b/Source/Core/Agent/AgentCore.cpp
@@ -30,7 +30,8 @@
     return effects;
 }
 
-/// Configuration never goes back, however late an older document arrives.
+/// Ignores documents that are not newer than the current one, so that a late document cannot revert
+/// the configuration.
 Effects updateConfiguration(AgentState &state, const Schema::Configuration &configuration,
                             Common::Moment now)
 {
@@ -55,8 +56,8 @@
     return applyRaisedEpochs(state, raised, now);
 }
 
-/// The settings may name a balancer, or a gateway by another address than the roster: one link to
-/// each gateway is enough, and states must not arrive twice.
+/// Closes a second link to the same gateway, so that states do not arrive twice. Such a link arises
+/// where the settings name a load balancer, or a gateway by another address than the roster.
 Effects closeDuplicate(AgentState &state, Endpoint &endpoint, Common::Moment now)
 {
     Effects effects{CloseLink{endpoint.link},
@@ -145,8 +146,9 @@
     }
 }
 
-/// After a pause of this process all links look silent, though their frames wait unread. Silence is
-/// judged anew from here on; the lease is not touched, since it counts from what was sent.
+/// Restarts the silence timers of all links after this process was paused for at least half of
+/// silenceMs: frames that arrived meanwhile are still unread, so the links only look silent. The
+/// lease is not extended, since it counts from the times at which hellos were sent.
 void resetSilenceAfterPause(AgentState &state, Common::Moment now)
 {
     const std::int64_t pausedMs = state.lastTickMs == 0 ? 0 : now.steadyMs - state.lastTickMs;
--- a/Source/Core/Agent/AgentCore.h
+++ b/Source/Core/Agent/AgentCore.h
@@ -3,31 +3,34 @@
 #include "Agent/AgentState.h"
 #include "Net/HttpClient.h"
 
-/// The agent's decisions as one state machine: each event from the outside goes through one of
-/// these functions, in the order in which the control thread meets it.
+/// The agent's decisions as one state machine. The control thread calls one of these functions for
+/// each outside event, in the order in which the events arrive.
 namespace Agent {
 
 Effects linkOpened(AgentState &state, LinkNumber link, Common::Moment now);
-/// Also for a connection attempt that failed.
+/// Also called for a connection attempt that failed.
 Effects linkClosed(AgentState &state, LinkNumber link, Common::Moment now);
 Effects frameReceived(AgentState &state, LinkNumber link, const Schema::Frame &frame,
                       Common::Moment now);
-/// The backend server's answer to a RunTask effect, or the lack of one.
+/// Handles the backend server's answer to a RunTask effect, or the lack of one.
 Effects runAnswered(AgentState &state, const TaskKey &key, const Net::HttpResult &answer,
                     Common::Moment now);
 Effects healthAnswered(AgentState &state, bool healthy, Common::Moment now);
 
-/// Timers. Called several times within a heartbeat.
+/// Runs the timers. Called several times per heartbeat.
 Effects tick(AgentState &state, Common::Moment now);
-/// Reports that are due. Called once after each batch of events and ticks.
+/// Sends the reports that are due. Called once after each batch of events and ticks.
 Effects flush(AgentState &state, Common::Moment now);
 
-/// Refuses new work from now on, gives queued tasks back and tells every gateway.
+/// Refuses new work from now on, returns queued tasks to their owners and sends a hello to every
+/// connected gateway.
 Effects beginStop(AgentState &state, Common::Moment now);
-/// True once nothing runs and nothing is owed, or the stop has taken stopTimeoutMs.
+/// True once a stop was begun and either no task is queued or running and no report is pending, or
+/// stopTimeoutMs has passed.
 bool stopFinished(const AgentState &state, Common::Moment now);
 
-/// True while starts would be accepted if a slot were free.
+/// True if a start would be accepted now, given a free slot: the backend server is healthy, the
+/// agent is not draining and its lease has not lapsed.
 bool isReady(const AgentState &state, Common::Moment now);
 
 } // namespace Agent
--- a/Source/Core/Agent/AgentState.h
+++ b/Source/Core/Agent/AgentState.h
@@ -17,13 +17,14 @@
 
 namespace Agent {
 
-/// The backend server's slots and the short queue before them.
+/// The backend server's slots, the tasks that run in them and the short queue of tasks that wait
+/// for one.
 struct Slots
 {
     std::int64_t slots = 8;
-    /// Crossing start messages of several gateways can overfill the agent for a moment. A queue of
-    /// half the slots takes that up at the cost of half a task's time; past it starts are refused,
-    /// since another backend server may be idle.
+    /// Start messages that several gateways send at the same time can briefly exceed the slots. A
+    /// queue of half the slots absorbs this at the cost of half a task's run time. Beyond it starts
+    /// are refused, since another backend server may be idle.
     std::int64_t queueLimit = 4;
     std::deque<Schema::StartTask> queue;
     std::unordered_set<TaskKey, TaskKeyHash> running;
@@ -40,20 +41,21 @@
     Links links;
     Outcomes outcomes;
     Slots slots;
-    /// Answers to starts that are not remembered, since the fence alone keeps them refused.
+    /// Replies to starts of fenced epochs. These starts are not recorded in outcomes, since the
+    /// fence alone refuses their repetitions.
     std::map<LinkNumber, std::vector<Schema::TaskState>> directReplies;
 
     std::int64_t configVersion = 0;
-    /// An operator drains this backend server.
+    /// An operator has drained this backend server through the configuration.
     bool drainConfigured = false;
-    /// This process is stopping gracefully.
+    /// A graceful stop of this process is in progress.
     bool stopping = false;
     std::int64_t stopDeadlineMs = 0;
     bool healthy = false;
     std::int64_t lastTickMs = 0;
 };
 
-/// Everything the decisions need, from the settings.
+/// Creates the initial state from the settings.
 AgentState makeAgentState(const Schema::AgentSettings &settings, std::string instance,
                           Common::Random random);
 
--- a/Source/Core/Agent/Fence.cpp
+++ b/Source/Core/Agent/Fence.cpp
@@ -14,7 +14,8 @@
                        [&](const Schema::Member &member) { return member.instance == instance; });
 }
 
-/// Gateways are replaced daily: without this the map would grow for as long as the agent lives.
+/// Removes gateways that have left the roster. Gateways are replaced daily, so the map would
+/// otherwise grow for as long as the agent runs.
 void removeDeparted(Fence &fence)
 {
     for (auto entry = fence.answeredHelloMs.begin(); entry != fence.answeredHelloMs.end();) {
--- a/Source/Core/Agent/Outcomes.cpp
+++ b/Source/Core/Agent/Outcomes.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::int64_t ExpiryBucketMs = 1000;
-/// Covers a small step of the wall clock while a refusal is remembered.
+/// Covers a small step of the wall clock while a refusal is kept.
 constexpr std::int64_t RefusalSlackMs = 5000;
 constexpr std::size_t RefusalRoomFactor = 2;
-/// Part of the bound that dropping leaves: dropping one at a time would walk the old ones each
-/// time.
+/// Quarters of maxResultBytes that remain after results are dropped: dropping them one at a time
+/// would iterate over the old records each time.
 constexpr std::size_t KeptQuarters = 3;
 
 StartOrder startOrderOf(const Schema::StartTask &task)
@@ -29,8 +29,8 @@
     return record.stage != TaskStage::Ended || record.phase != Schema::TaskPhase::NotStarted;
 }
 
-/// A repeated start message carries the same notAfterMs and is refused by that once it has passed;
-/// until then the refusal has to be remembered.
+/// A repeated start message carries the same notAfterMs and is refused once that time has passed;
+/// until then the refusal must be kept.
 std::int64_t refusalExpiryMs(const TaskRecord &record, Common::Moment now)
 {
     const std::int64_t left = std::max<std::int64_t>(0, record.notAfterMs - now.wallMs);
@@ -61,8 +61,9 @@
     outcomes.pendingReports.insert({dueMs, &key});
 }
 
-/// Acknowledged results go first where memory is short: only a successor that asks could still want
-/// them, and it is then told that the outcome is unknown, which is true.
+/// Drops acknowledged results when memory is short, those that expire first before the others. Only
+/// a successor of the owner could still ask for them, and it then correctly receives the phase
+/// Unknown.
 void dropOldResults(Outcomes &outcomes)
 {
     const std::size_t kept = outcomes.options.maxResultBytes / 4 * KeptQuarters;
@@ -104,7 +105,8 @@
     }
 }
 
-/// The node of \a task's record, made ready for a new start.
+/// Returns the node of the record of \a task, created if it does not exist and reset for a new
+/// start.
 Outcomes::Records::value_type &resetRecord(Outcomes &outcomes, const Schema::StartTask &task,
                                            Common::Moment now)
 {
@@ -184,7 +186,7 @@
 {
     const auto found = outcomes.records.find(key);
     Common::invariant(found != outcomes.records.end() && !isEnded(found->second),
-                      "a task ends once and is remembered until then", key.job);
+                      "a task ends once and is kept on record until then", key.job);
     endRecord(outcomes, found->first, found->second, std::move(end), now);
 }
 
--- a/Source/Core/Agent/Outcomes.h
+++ b/Source/Core/Agent/Outcomes.h
@@ -12,9 +12,9 @@
 #include "Common/Common.h"
 #include "Schema/Schema.h"
 
-/// The agent's memory of tasks: what it accepted, what it refused and what came of each. Two
-/// promises rest on it: a task that may have started is never started again, and a refused start
-/// stays refused. It also keeps which final states are still owed to an owner.
+/// Records of tasks: which starts the agent accepted, which it refused and the outcome of each. Two
+/// guarantees rest on them: a task that may have started is never started again, and a refused
+/// start stays refused. They also track which final states their owners have not acknowledged yet.
 namespace Agent {
 
 /// Orders the starts of one task: by epoch, then by attempt under that epoch.
@@ -30,11 +30,11 @@
 }
 
 enum class TaskStage {
-    /// In the agent's queue; the backend server has not seen it.
+    /// In the agent's queue; not yet sent to the backend server.
     Queued,
-    /// Handed to the backend server; it may have started.
+    /// Sent to the backend server; it may have started.
     Running,
-    /// Has a final phase, NotStarted among them.
+    /// Has a final phase, which may be NotStarted.
     Ended,
 };
 
@@ -42,10 +42,10 @@
 {
     std::int64_t shard = 0;
     StartOrder start;
-    /// Highest start that was answered with not_started; nothing up to it may start any more.
+    /// Highest start that was answered with not_started; no start up to it may begin any more.
     StartOrder refused;
     std::int64_t notAfterMs = 0;
-    /// Steady times: of the last change of stage, of the end of memory, of the next report.
+    /// Steady times of the last change of stage, of the record's expiry and of the next report.
     std::int64_t changedMs = 0;
     std::int64_t expiresMs = 0;
     std::int64_t dueMs = 0;
@@ -62,15 +62,17 @@
 
 struct OutcomesOptions
 {
-    /// How long an outcome is kept after its end, acknowledged or not: a successor of its owner may
-    /// ask for it, and a repeated start must meet it. At least the gateways' dedup window.
+    /// How long the record of a task that may have started is kept after the task's end,
+    /// acknowledged or not: a successor of its owner may ask for it, and a repeated start must be
+    /// recognised. At least the gateways' dedup window.
     std::int64_t retentionMs = 600'000;
     /// Time between two reports of a final state that is not acknowledged.
     std::int64_t repeatReportMs = 1000;
-    /// Past these bounds new starts are refused: memory stays bounded while no owner acknowledges.
+    /// Beyond these bounds new starts are refused, so that memory use stays bounded while no owner
+    /// acknowledges.
     std::size_t maxRecords = 200'000;
     std::size_t maxResultBytes = 32U << 20U;
-    /// Switched off by tests, to show what they guard against.
+    /// Disabled by tests, to show which failures these checks prevent.
     bool repeatsRefused = true;
     bool refusalsKept = true;
 };
@@ -82,33 +84,34 @@
 
     OutcomesOptions options;
     Records records;
-    /// Final states owed to an owner, by the time of their next report. Keys live in records.
+    /// Final states to be reported to an owner, by the time of their next report. The keys are
+    /// those of records.
     std::set<PendingReport> pendingReports;
-    /// Records by the second in which they may be forgotten.
+    /// Records by the second in which they may be removed. The keys are those of records.
     std::map<std::int64_t, std::vector<const TaskKey *>> expiries;
     std::size_t resultBytes = 0;
 };
 
-/// What the memory says to a start message.
+/// Whether a start message repeats a start that is already on record.
 enum class StartStatus { New, Known };
 
-/// Known: the task may have started, or this start or a later one was refused. It must not be
-/// started.
+/// Known means that the task is queued or may have started, or that this start or a later one was
+/// refused: it must not be started.
 StartStatus lookUpStart(const Outcomes &outcomes, const Schema::StartTask &task);
 
 bool hasRoom(const Outcomes &outcomes);
-/// Room for remembering refusals lasts longer than that for accepting tasks: a refusal that cannot
-/// be remembered must not be given.
+/// Refusals are recorded up to a higher bound than accepted tasks, since a refusal that cannot be
+/// recorded must not be sent.
 bool hasRoomForRefusal(const Outcomes &outcomes);
 
 TaskRecord *findRecord(Outcomes &outcomes, const TaskKey &key);
 
-/// The task waits in the agent's queue.
+/// Records that the task waits in the agent's queue.
 void recordQueued(Outcomes &outcomes, const Schema::StartTask &task, Common::Moment now);
-/// The task is about to be handed to the backend server. Breaks an invariant where that would be
-/// its second start, or a start that was refused.
+/// Records that the task is about to be sent to the backend server. Aborts the process if the
+/// task is not queued, so that this would be a second start, or if the start was refused.
 void recordRunning(Outcomes &outcomes, const TaskKey &key, Common::Moment now);
-/// A start that was refused before it was accepted.
+/// Records a start that was refused before it was queued.
 void recordRefused(Outcomes &outcomes, const Schema::StartTask &task, Schema::Reason reason,
                    Common::Moment now);
 
@@ -119,17 +122,19 @@
     std::string result;
     double runMs = 0;
 };
-/// An accepted task has its final phase, which is now owed to its owner.
+/// Records the final phase of an accepted task, which must then be reported to its owner.
 void recordEnded(Outcomes &outcomes, const TaskKey &key, TaskEnd end, Common::Moment now);
 
-/// The owner has the final state of \a key, of an attempt up to \a attempt. False where there is
-/// nothing to acknowledge: an owner must not acknowledge states that are not final.
+/// Handles the owner's acknowledgement of the final state of \a key for attempts up to \a attempt.
+/// Returns false if there is nothing to acknowledge: an owner must not acknowledge states that are
+/// not final.
 bool acknowledge(Outcomes &outcomes, const TaskKey &key, std::int64_t attempt);
 
-/// Puts the next report of a final state at \a dueMs, also where it was acknowledged before.
+/// Schedules the next report of a final state at steady time \a dueMs, also if the state was
+/// acknowledged before. Does nothing for a task that has not ended.
 void scheduleReportAt(Outcomes &outcomes, const TaskKey &key, std::int64_t dueMs);
 
-/// Forgets what is past its time; returns how many final states were never acknowledged.
+/// Removes expired records. Returns how many of them had a final state that was not acknowledged.
 std::size_t removeExpired(Outcomes &outcomes, Common::Moment now);
 
 Schema::TaskState stateOf(const TaskKey &key, const TaskRecord &record);
--- a/Source/Core/Agent/Starts.cpp
+++ b/Source/Core/Agent/Starts.cpp
@@ -27,7 +27,8 @@
     effects.emplace_back(refusalCount(reason));
 }
 
-/// Ends every queued task for which \a reasonFor gives a reason, keeping the order of the others.
+/// Ends every queued task for which \a reasonFor returns a reason other than None. The others keep
+/// their order.
 template <typename ReasonFor>
 Effects endQueuedIf(AgentState &state, Common::Moment now, ReasonFor reasonFor)
 {
@@ -52,7 +53,8 @@
     return held >= state.slots.slots + state.slots.queueLimit || !hasRoom(state.outcomes);
 }
 
-/// What may have changed since the task was accepted.
+/// Checks the epoch, the lease and notAfterMs, whose results may change between acceptance and
+/// start.
 Schema::Reason checkBeforeStart(const AgentState &state, const Schema::StartTask &task,
                                 Common::Moment now)
 {
@@ -63,8 +65,8 @@
     return now.wallMs > task.notAfterMs ? Schema::Reason::NotAfterPassed : Schema::Reason::None;
 }
 
-/// A start under a higher epoch than known proves that its sender owns the shard: it serves only
-/// once its claim is acknowledged.
+/// Raises the epoch of the task's shard if the start carries a higher one. This proves that the
+/// sender owns the shard, since an owner serves only once its claim is acknowledged.
 Effects updateEpochFromStart(AgentState &state, const std::string &gateway,
                              const Schema::StartTask &task, Common::Moment now)
 {
