--- a/Source/Core/Agent/AgentDaemon.cpp
+++ b/Source/Core/Agent/AgentDaemon.cpp
@@ -37,7 +37,7 @@
 struct StopRequested
 {};
 
-/// What the traffic threads hand to the control thread.
+/// Messages that other threads post to the control thread.
 using ControlMessage = std::variant<Net::LinkUp, Net::LinkDown, Net::FrameArrived, RunAnswered,
                                     HealthAnswered, StopRequested>;
 
@@ -46,8 +46,8 @@
     return name + '-' + Common::randomId(random);
 }
 
-/// CBOR strings from a gateway may hold bytes that are not UTF-8, which JSON cannot carry: they are
-/// replaced, since throwing here would end the agent and lose the outcomes it keeps.
+/// Replaces bytes that are not valid UTF-8: CBOR strings from a gateway may hold them, but JSON
+/// cannot. An exception here would end the agent and lose the outcomes it keeps.
 std::string jsonText(const Schema::RunTask &task)
 {
     return nlohmann::json(task).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -97,7 +97,8 @@
     Common::Mailbox<ControlMessage> mailbox;
     std::atomic<bool> ready{false};
 
-    /// Between the decisions' link numbers and the hub's; touched by the control thread only.
+    /// Maps between the link numbers of the state machine and the link ids of the hub. Used by the
+    /// control thread only.
     std::map<LinkNumber, Net::LinkId> hubLinks;
     std::map<Net::LinkId, LinkNumber> linkNumbers;
     std::int64_t nextTickMs = 0;
@@ -105,10 +106,11 @@
     std::int64_t nextPublishMs = 0;
     bool healthCheckPending = false;
 
-    // Last, so that their threads end before what they post to.
+    // Declared last, so that their threads end before the members that they post to are destroyed.
     std::unique_ptr<Net::PeerHub> hub;
     std::unique_ptr<Net::HttpClient> runClient;
-    /// Of its own: health must be seen also while every connection is busy with tasks.
+    /// A separate client, so that health is checked also while every connection of runClient is
+    /// busy with tasks.
     std::unique_ptr<Net::HttpClient> healthClient;
     std::unique_ptr<Net::HttpServer> server;
 };
@@ -153,8 +155,8 @@
 
 void AgentDaemon::Implementation::handleMessage(ControlMessage message)
 {
-    // The clock is read for each message: one that waited through a pause must not be judged by an
-    // older time.
+    // Reads the clock for each message, so that a message that waited through a pause of the
+    // process is not checked against an older time.
     this->carryOut(std::visit(
             [this](const auto &event) { return this->decide(event, Common::currentMoment()); },
             message));
--- a/Source/Core/Agent/AgentDaemon.h
+++ b/Source/Core/Agent/AgentDaemon.h
@@ -7,8 +7,8 @@
 
 namespace Agent {
 
-/// A running agent. One control thread owns all state; HTTP and WebSocket threads hand it messages
-/// and carry out its effects.
+/// A running agent. One control thread owns all state. HTTP and WebSocket threads post messages to
+/// it and perform its effects.
 class AgentDaemon
 {
 public:
@@ -16,13 +16,13 @@
     AgentDaemon(const AgentDaemon &) = delete;
     AgentDaemon &operator=(const AgentDaemon &) = delete;
 
-    /// Where /metrics, /health and /ready are served.
+    /// Port on which /metrics, /health and /ready are served.
     std::uint16_t metricsPort() const;
 
-    /// Begins a graceful stop. Safe from any thread.
+    /// Requests a graceful stop. May be called from any thread.
     void requestStop();
-    /// Runs the control thread's loop until the stop is complete or its time is over. Returns false
-    /// where the time ran out: a task still ran, or an outcome was not acknowledged.
+    /// Runs the control thread's loop until the stop is complete or has timed out. Returns false
+    /// if, at the end, a task is still running or a final state is not acknowledged.
     bool run();
 
 private:
@@ -36,8 +36,8 @@
 {
 public:
     AgentDaemonBuilder &settings(Schema::AgentSettings settings);
-    /// Listens for metrics and starts the traffic threads. Throws std::runtime_error where the
-    /// address cannot be had.
+    /// Starts the metrics server and the network threads. Throws std::runtime_error if the metrics
+    /// server cannot listen on its address.
     std::unique_ptr<AgentDaemon> build();
 
 private:
--- a/Source/Core/Agent/AgentMetrics.h
+++ b/Source/Core/Agent/AgentMetrics.h
@@ -6,10 +6,10 @@
 
 namespace Agent {
 
-/// Sets the gauges that are read off the agent's state.
+/// Sets the gauges that describe the agent's state.
 void publishState(Common::Metrics &metrics, const AgentState &state, Common::Moment now);
-/// Frames and bytes of the links to gateways, and the CPU time of the calling thread, which is the
-/// control thread.
+/// Sets the gauges for the frames and bytes of the links to gateways, and for the CPU time of the
+/// calling thread, which must be the control thread.
 void publishTraffic(Common::Metrics &metrics, const Net::PeerHubTraffic &traffic);
 
 } // namespace Agent
--- a/Source/Core/Agent/BackendAnswer.cpp
+++ b/Source/Core/Agent/BackendAnswer.cpp
@@ -18,7 +18,8 @@
     return end;
 }
 
-/// The task ran; an answer without a readable result is a failure of the task.
+/// Reads the answer of a task that has run. An answer without a readable result counts as a failure
+/// of the task.
 TaskEnd readResult(const std::string &body)
 {
     const auto json = nlohmann::json::parse(body, nullptr, false);
--- a/Source/Core/Agent/BackendAnswer.h
+++ b/Source/Core/Agent/BackendAnswer.h
@@ -4,15 +4,15 @@
 #include "Net/HttpClient.h"
 #include "Schema/Schema.h"
 
-/// What the backend server's answer to POST /run proves about a task.
+/// Interprets the backend server's answers to POST /run and GET /health.
 namespace Agent {
 
-/// Not started only where that is proved: the connection was never made, or the backend server said
-/// so (412 after notAfterMs, 503 when it takes no work). A call that was lost or timed out may have
-/// started the task, so its outcome is unknown, never "not started".
+/// Returns the phase NotStarted only if that is proved: the connection was never established, or
+/// the backend server said so (412 after notAfterMs, 503 when it accepts no work). A call that was
+/// lost or timed out may have started the task, so its phase is Unknown, never NotStarted.
 TaskEnd readRunAnswer(const Net::HttpResult &answer);
 
-/// True where GET /health found the backend server able to work.
+/// True if the backend server answered GET /health with status 200.
 bool readHealthAnswer(const Net::HttpResult &answer);
 
 } // namespace Agent
--- a/Source/Core/Agent/Effects.h
+++ b/Source/Core/Agent/Effects.h
@@ -9,11 +9,12 @@
 #include "Common/Append.h"
 #include "Schema/Schema.h"
 
-/// What the agent's decisions ask of the outside, and how its tasks and links are named.
+/// Effects that the agent's state machine requests, and the identifiers of its tasks and links.
 namespace Agent {
 
-/// A connection attempt to a gateway and the link that comes of it. Numbered by the decisions,
-/// never reused, so that a late event of an old link cannot be taken for one of its successor.
+/// Identifies a connection attempt to a gateway and the link that results from it. The state
+/// machine assigns the numbers and never reuses one, so that a late event of an old link cannot be
+/// mistaken for an event of the link that replaced it.
 using LinkNumber = std::uint64_t;
 
 struct TaskKey
@@ -50,7 +51,7 @@
     Schema::Frame frame;
 };
 
-/// Handed to the backend server; from here on the task may have started.
+/// Sends the task to the backend server. From here on the task may have started.
 struct RunTask
 {
     Schema::RunTask task;
@@ -64,7 +65,7 @@
     double amount = 1;
 };
 
-/// One log line.
+/// Writes one log line.
 struct LogLine
 {
     std::string event;
@@ -73,7 +74,7 @@
 
 using Effect =
         std::variant<ConnectGateway, CloseLink, SendToGateway, RunTask, CountReason, LogLine>;
-/// Carried out in order.
+/// Effects are carried out in order.
 using Effects = std::vector<Effect>;
 
 using Common::append;
--- a/Source/Core/Agent/Links.cpp
+++ b/Source/Core/Agent/Links.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::int64_t MinBackoffMs = 100;
 constexpr std::int64_t MaxBackoffMs = 5000;
-/// A gateway that answers nothing is closed for silence long before.
+/// The link of a gateway that answers nothing is closed for silence long before this bound is
+/// reached.
 constexpr std::size_t MaxUnansweredHellos = 128;
 
 Endpoint &endpointAt(Links &links, const std::string &host, std::uint16_t port)
--- a/Source/Core/Agent/Reports.cpp
+++ b/Source/Core/Agent/Reports.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Frames stay well below a link's bound on unsent bytes.
+/// These limits keep frames well below a link's bound on unsent bytes.
 constexpr std::size_t MaxStatesInFrame = 2000;
 constexpr std::size_t MaxResultBytesInFrame = 1U << 20U;
-/// A task that ends sooner is reported once. Well below the gateways' startAckMs.
+/// A task that ends sooner is reported only once. Well below the gateways' startAckMs.
 constexpr std::int64_t MaxRunningReportDelayMs = 200;
 
 using StatesByLink = std::map<LinkNumber, std::vector<Schema::TaskState>>;
@@ -46,7 +46,7 @@
     return demands;
 }
 
-/// The windows in force, by link.
+/// Returns the current window of each open link.
 std::unordered_map<LinkNumber, std::int64_t> windowsByLink(AgentState &state)
 {
     std::unordered_map<LinkNumber, std::int64_t> windows;
@@ -99,7 +99,8 @@
     return effects;
 }
 
-/// Final states whose time has come. One whose owner is not reached is tried again later.
+/// Collects the final states whose reports are due and schedules them again after repeatReportMs.
+/// States whose owner is not connected are only scheduled again.
 void collectDueReports(AgentState &state, Common::Moment now, StatesByLink &states)
 {
     Outcomes &outcomes = state.outcomes;
@@ -116,7 +117,8 @@
     }
 }
 
-/// Running and queued tasks not yet reported: after the delay, or with a frame that goes anyway.
+/// Collects running and queued tasks that are not reported yet, once their delay has passed or if a
+/// frame is sent to their owner anyway.
 void collectRunningReports(AgentState &state, Common::Moment now, StatesByLink &states)
 {
     const auto collect = [&](const TaskKey &key) {
@@ -142,8 +144,9 @@
     }
 }
 
-/// A gateway with waiting tasks whose window has grown while slots are free is told at once:
-/// waiting for the next heartbeat would leave the slots idle.
+/// True if a gateway has waiting tasks and a larger window than was last sent to it, while slots
+/// are free. The window is then sent at once: waiting for the next heartbeat would leave the slots
+/// idle.
 bool shouldSendWindow(const AgentState &state, const Endpoint &endpoint, std::int64_t window)
 {
     return endpoint.answered && endpoint.demand > 0 && window > endpoint.sentWindow
@@ -213,8 +216,9 @@
                              now.steadyMs + state.outcomes.options.repeatReportMs);
         }
     }
-    // An owner takes a task that the frame with answerTo does not list for not started, unless an
-    // earlier frame has ended it: tasks that run must be listed there, or they are started again.
+    // An owner treats a task that is not listed in the frame with answerTo as not started, unless
+    // an earlier frame has reported its end. Tasks that are queued or running must be listed there,
+    // or they would be started again.
     std::stable_partition(states.begin(), states.end(), isFinal);
     const std::int64_t window = windowsByLink(state)[link];
     Effects effects = makeReports(state, *endpoint, window, std::move(states));
--- a/Source/Core/Agent/Reports.h
+++ b/Source/Core/Agent/Reports.h
@@ -4,32 +4,36 @@
 
 #include "Agent/AgentState.h"
 
-/// What the agent tells gateways: task states, windows, answers to a new owner, hellos.
+/// Messages from the agent to gateways: task states, windows, answers to a new owner and hellos.
 ///
-/// A final state goes to the owner of the task's shard until that owner acknowledges it, and to the
-/// next owner when the shard moves. That a task is running is told once, and only if it runs for a
-/// while: most tasks end sooner, and their one report says both.
+/// A final state is sent to the owner of the task's shard until that owner acknowledges it, and to
+/// the next owner when the shard moves. A running task is reported as running once per owner and
+/// link, and only if it runs for a while: most tasks end sooner, and their one report covers both
+/// the start and the end. A repeated start message causes another report.
 namespace Agent {
 
-/// Sends what is due, all states for one owner together. Called once after each batch of events.
+/// Sends what is due, with all states for one owner together. Called once after each batch of
+/// events.
 Effects flushReports(AgentState &state, Common::Moment now);
 
-/// Answers a new owner with all that is held of its shards, refused starts among them. What is
-/// absent was never started here and never will be under an older epoch, nor from a message sent on
-/// an older link. A long answer goes in several frames, of which only the last carries answerTo;
-/// all tasks that run are listed in that one.
+/// Answers a new owner with every recorded task of its shards, including refused starts. A task
+/// that is absent was never started here, and will not be started under an older epoch or by a
+/// message sent on an older link. A long answer is split into several frames. Only the last one
+/// carries answerTo, and it lists all tasks that are queued or running.
 Effects answerAskTasks(AgentState &state, LinkNumber link, const Schema::AskTasks &ask,
                        Common::Moment now);
 
-/// Everything owed to a gateway whose link is new is due again: the old link may have lost it.
+/// Called when a gateway has answered on a new link. Makes all unacknowledged reports to it due now
+/// and reports its running tasks again, since the old link may have lost them.
 void makeReportsDue(AgentState &state, const std::string &gateway, Common::Moment now);
 
-/// Drops what the gateway has acknowledged, if it owns the tasks' shards: what a former owner
-/// learns its successor may not know.
+/// Stops reporting the final states that the gateway has acknowledged, if it owns the tasks'
+/// shards. Acknowledgements from a former owner are ignored, since its successor may not know the
+/// states.
 void handleAcknowledgement(AgentState &state, const std::string &gateway,
                            const Schema::TaskRefs &refs);
 
-/// Hellos that are due; all links at once where \a atOnce.
+/// Sends the hellos that are due, or one on every open link if \a atOnce.
 Effects sendHellos(AgentState &state, bool atOnce, Common::Moment now);
 
 } // namespace Agent
