--- a/Source/Core/Agent/Outcomes.h
+++ b/Source/Core/Agent/Outcomes.h
@@ -108,8 +108,8 @@
 
 /// Records that the task waits in the agent's queue.
 void recordQueued(Outcomes &outcomes, const Schema::StartTask &task, Common::Moment now);
-/// Records that the task is about to be sent to the backend server. Aborts the process if the
-/// task is not queued, so that this would be a second start, or if the start was refused.
+/// Records that the task is about to be sent to the backend server. Aborts the process if the task
+/// is not queued, so that this would be a second start, or if the start was refused.
 void recordRunning(Outcomes &outcomes, const TaskKey &key, Common::Moment now);
 /// Records a start that was refused before it was queued.
 void recordRefused(Outcomes &outcomes, const Schema::StartTask &task, Schema::Reason reason,
@@ -122,7 +122,8 @@
     std::string result;
     double runMs = 0;
 };
-/// Records the final phase of an accepted task, which must then be reported to its owner.
+/// Records the final phase of an accepted task, which must then be reported to its owner. Aborts
+/// the process if the task has no record or has ended already.
 void recordEnded(Outcomes &outcomes, const TaskKey &key, TaskEnd end, Common::Moment now);
 
 /// Handles the owner's acknowledgement of the final state of \a key for attempts up to \a attempt.
