--- a/Source/Core/Runner/Forecast.cpp
+++ b/Source/Core/Runner/Forecast.cpp
@@ -26,7 +26,7 @@
     double nowMs = 0;
 };
 
-void waitForRoom(Timeline &timeline, double processors)
+void advanceUntilFree(Timeline &timeline, double processors)
 {
     while (timeline.free < processors && !timeline.releases.empty()) {
         const Release next = timeline.releases.top();
@@ -69,16 +69,16 @@
         const Run &run = state.runs.at(id);
         if (!isUrgentKnown && run.priority > state.urgentPriority) {
             Timeline urgent = timeline;
-            waitForRoom(urgent, needed);
+            advanceUntilFree(urgent, needed);
             forecast.urgentWaitMs = urgent.nowMs;
             isUrgentKnown = true;
         }
-        waitForRoom(timeline, run.resources.processors);
+        advanceUntilFree(timeline, run.resources.processors);
         timeline.free -= run.resources.processors;
         timeline.releases.push({timeline.nowMs + static_cast<double>(run.expectedMs) * slowdown,
                                 run.resources.processors});
     }
-    waitForRoom(timeline, needed);
+    advanceUntilFree(timeline, needed);
     forecast.waitMs = timeline.nowMs;
     if (!isUrgentKnown) {
         forecast.urgentWaitMs = forecast.waitMs;
--- a/Source/Core/Runner/Load.cpp
+++ b/Source/Core/Runner/Load.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 /// Half of what the shortest tasks take.
-constexpr std::int64_t ShortestLoadPauseMs = 25;
+constexpr std::int64_t MinLoadReportIntervalMs = 25;
 /// Of a site that can bear that pause: its gateways used 0.03 of a core.
 constexpr std::size_t GatewaysOfSmallSite = 4;
 
-bool isThere(const Run &run)
+bool occupiesBackend(const Run &run)
 {
     return run.phase != RunPhase::Queued;
 }
@@ -25,7 +25,7 @@
 {
     Schema::Resources sum{};
     for (const auto &[id, run] : state.runs) {
-        if (isThere(run)) {
+        if (occupiesBackend(run)) {
             sum.processors += run.resources.processors;
             sum.memoryMb += run.resources.memoryMb;
             sum.accelerators += run.resources.accelerators;
@@ -78,10 +78,10 @@
     return load;
 }
 
-std::int64_t loadPauseMs(std::size_t gateways)
+std::int64_t loadReportIntervalMs(std::size_t gateways)
 {
     const std::size_t counted = std::max(gateways, GatewaysOfSmallSite);
-    return ShortestLoadPauseMs * static_cast<std::int64_t>(counted)
+    return MinLoadReportIntervalMs * static_cast<std::int64_t>(counted)
            / static_cast<std::int64_t>(GatewaysOfSmallSite);
 }
 
@@ -94,7 +94,7 @@
 
 bool isAccepting(const RunnerState &state)
 {
-    return state.backend && !state.backend->leaving && state.isClean && state.isAlive
+    return state.backend && !state.backend->leaving && state.isClean && state.isBackendResponsive
            && !state.isStopping;
 }
 
@@ -117,9 +117,9 @@
             announcement.held.push_back({run.attempt, run.task});
         }
     }
-    const auto recent = state.recent.find(gateway);
-    if (recent != state.recent.end()) {
-        for (const RecentEnd &end : recent->second) {
+    const auto recentEnds = state.recentEnds.find(gateway);
+    if (recentEnds != state.recentEnds.end()) {
+        for (const RecentEnd &end : recentEnds->second) {
             announcement.held.push_back({end.state.attempt, end.state.task});
         }
     }
--- a/Source/Core/Runner/Load.h
+++ b/Source/Core/Runner/Load.h
@@ -28,7 +28,7 @@
 /// to know it. Told by 76 agents every 25 ms, 12 gateways used 0.096 of a core in the mean; the
 /// weak ones, which have 0.12, were at their limit, and a fifth of the jobs of their failure domain
 /// ended late. What an agent spends on it is the same for any number of gateways.
-std::int64_t loadPauseMs(std::size_t gateways);
+std::int64_t loadReportIntervalMs(std::size_t gateways);
 
 /// True where a gateway should hear of \a states at once. That a start was answered matters only if
 /// this agent is lost: it goes along with what is told anyway.
--- a/Source/Core/Runner/Watch.cpp
+++ b/Source/Core/Runner/Observation.cpp
@@ -1,4 +1,4 @@
-#include "Runner/Watch.h"
+#include "Runner/Observation.h"
 
 #include <algorithm>
 
@@ -15,18 +15,18 @@
 using Transient::RunEnd;
 
 /// Calls at a time: two that hang and one that works.
-constexpr std::size_t MostWatches = 3;
+constexpr std::size_t MaxPendingObservations = 3;
 /// After a lost answer: one more in twenty is likely lost, too, and each hides ends for as long.
-constexpr std::int64_t LossyMs = 3000;
-constexpr std::int64_t LossyWatchMs = 60;
+constexpr std::int64_t LossyPeriodMs = 3000;
+constexpr std::int64_t LossyObserveWaitMs = 60;
 /// Runs missing from so many observations in a row that were asked for after they had started are
 /// gone.
-constexpr int MostMissed = 2;
+constexpr int MissedUntilLost = 2;
 constexpr std::int64_t StrayRetryMs = 150;
 /// Between observations that failed at once.
 constexpr std::int64_t FailedPauseMs = 50;
 
-bool isWatchNeeded(const RunnerState &state)
+bool isObservationNeeded(const RunnerState &state)
 {
     return !state.isClean || state.acknowledgedEnd < state.lastEnd || !state.strays.empty()
            || std::any_of(state.runs.begin(), state.runs.end(),
@@ -44,8 +44,8 @@
     return nullptr;
 }
 
-void takeEnd(RunnerState &state, Effects &effects, const Transient::EndedRun &end,
-             Common::Moment now)
+void processEnd(RunnerState &state, Effects &effects, const Transient::EndedRun &end,
+                Common::Moment now)
 {
     if (end.position <= state.lastEnd) {
         return;
@@ -71,7 +71,7 @@
     }
 }
 
-bool isShown(const Transient::Observation &seen, const std::string &task, std::int64_t number)
+bool isObserved(const Transient::Observation &seen, const std::string &task, std::int64_t number)
 {
     return std::any_of(seen.active.begin(), seen.active.end(),
                        [&](const Transient::ActiveRun &active) {
@@ -98,8 +98,8 @@
     effects.emplace_back(CallStop{active.task, active.number});
 }
 
-void takeActive(RunnerState &state, Effects &effects, const Transient::Observation &seen,
-                Common::Moment now)
+void processActive(RunnerState &state, Effects &effects, const Transient::Observation &seen,
+                   Common::Moment now)
 {
     for (const Transient::ActiveRun &active : seen.active) {
         RunId id = 0;
@@ -114,27 +114,28 @@
     }
     // What is not shown any more has ended.
     for (auto entry = state.strays.begin(); entry != state.strays.end();) {
-        entry = isShown(seen, entry->first.first, entry->first.second) ? std::next(entry)
-                                                                       : state.strays.erase(entry);
+        entry = isObserved(seen, entry->first.first, entry->first.second)
+                        ? std::next(entry)
+                        : state.strays.erase(entry);
     }
 }
 
 /// Runs that the backend server does not show any more, though it was asked after they had started
 /// or after it had taken their stop in.
-void settleMissing(RunnerState &state, Effects &effects, const Transient::Observation &seen,
-                   std::int64_t sentMs, Common::Moment now)
+void finishMissingRuns(RunnerState &state, Effects &effects, const Transient::Observation &seen,
+                       std::int64_t sentMs, Common::Moment now)
 {
     std::vector<RunId> gone;
     for (auto &[id, run] : state.runs) {
-        if (isShown(seen, run.task, run.number)) {
-            run.missed = 0;
+        if (isObserved(seen, run.task, run.number)) {
+            run.missedObservations = 0;
             continue;
         }
-        const bool isStopped =
-                run.phase == RunPhase::Stopping && run.stopTakenMs != 0 && sentMs > run.stopTakenMs;
+        const bool isStopped = run.phase == RunPhase::Stopping && run.stopAcceptedMs != 0
+                               && sentMs > run.stopAcceptedMs;
         // Calls overtake each other: only what was asked after the answer came surely saw the run.
         const bool isMissing = run.phase == RunPhase::Running && sentMs >= run.startAnsweredMs
-                               && ++run.missed >= MostMissed;
+                               && ++run.missedObservations >= MissedUntilLost;
         if (isStopped || isMissing) {
             gone.push_back(id);
         }
@@ -148,21 +149,22 @@
 }
 
 /// Another life shows itself in an observation before it has announced itself.
-void meetLife(RunnerState &state, Effects &effects, std::int64_t startedAtMs, Common::Moment now)
+void detectIncarnation(RunnerState &state, Effects &effects, std::int64_t startedAtMs,
+                       Common::Moment now)
 {
     effects.emplace_back(
             Transient::Note{"backend_restarted", {{"started_at_ms", std::to_string(startedAtMs)}}});
     const Transient::BackendAnnouncement before = *state.backend;
-    state.formerLives.erase({before.id, startedAtMs});
+    state.previousIncarnations.erase({before.id, startedAtMs});
     state.backend->startedAtMs = startedAtMs;
     // Its own announcements count from the beginning: compared with those of the former life, they
     // would all seem late.
     constexpr std::int64_t NoneYet = -1;
     state.backend->sequence = NoneYet;
-    beginLife(state, effects, before, now);
+    beginIncarnation(state, effects, before, now);
 }
 
-void becomeClean(RunnerState &state, Effects &effects)
+void updateClean(RunnerState &state, Effects &effects)
 {
     if (state.isClean || !state.strays.empty()) {
         return;
@@ -175,7 +177,7 @@
 
 /// Whether anything there is to go on. What a former process left is not: renewed while its stops
 /// went unanswered, it ran on beside its successor at another agent.
-bool hasWanted(const RunnerState &state)
+bool hasWantedRun(const RunnerState &state)
 {
     return std::any_of(state.runs.begin(), state.runs.end(), [](const auto &entry) {
         const RunPhase phase = entry.second.phase;
@@ -185,38 +187,39 @@
 
 /// The observation was carried out, or may have been: that a refused one has done nothing is known
 /// of starts only.
-void renewed(RunnerState &state, const Watch &watch)
+void recordRenewal(RunnerState &state, const PendingObservation &observation)
 {
-    if (watch.isRenewal) {
-        state.grantedMs = std::max(state.grantedMs, watch.sentMs);
+    if (observation.isRenewal) {
+        state.leaseGrantSentMs = std::max(state.leaseGrantSentMs, observation.sentMs);
     }
 }
 
-void takeObservation(RunnerState &state, Effects &effects, const Transient::Observation &seen,
-                     const Watch &watch, Common::Moment now)
+void processObservation(RunnerState &state, Effects &effects, const Transient::Observation &seen,
+                        const PendingObservation &observation, Common::Moment now)
 {
-    clockSeen(state, seen.clockMs, now);
-    renewed(state, watch);
+    updateClockOffset(state, seen.clockMs, now);
+    recordRenewal(state, observation);
     state.silentSinceMs = 0;
-    const bool isNewLife = seen.startedAtMs != 0 && state.backend && state.backend->startedAtMs != 0
-                           && seen.startedAtMs != state.backend->startedAtMs;
-    if (isNewLife) {
-        meetLife(state, effects, seen.startedAtMs, now);
+    const bool isNewIncarnation = seen.startedAtMs != 0 && state.backend
+                                  && state.backend->startedAtMs != 0
+                                  && seen.startedAtMs != state.backend->startedAtMs;
+    if (isNewIncarnation) {
+        detectIncarnation(state, effects, seen.startedAtMs, now);
     } else {
-        state.acknowledgedEnd = std::max(state.acknowledgedEnd, watch.lastEnd);
+        state.acknowledgedEnd = std::max(state.acknowledgedEnd, observation.lastEnd);
     }
     std::vector<Transient::EndedRun> ended = seen.ended;
     std::sort(ended.begin(), ended.end(),
               [](const auto &left, const auto &right) { return left.position < right.position; });
     for (const Transient::EndedRun &end : ended) {
-        takeEnd(state, effects, end, now);
-    }
-    takeActive(state, effects, seen, now);
-    settleMissing(state, effects, seen, watch.sentMs, now);
-    paceSeen(state, now);
-    becomeClean(state, effects);
-    if (!state.isAlive) {
-        state.isAlive = true;
+        processEnd(state, effects, end, now);
+    }
+    processActive(state, effects, seen, now);
+    finishMissingRuns(state, effects, seen, observation.sentMs, now);
+    updateSlowdown(state, now);
+    updateClean(state, effects);
+    if (!state.isBackendResponsive) {
+        state.isBackendResponsive = true;
         effects.emplace_back(Transient::Note{"backend_regained", {}});
         effects.emplace_back(Announce{});
     }
@@ -234,11 +237,11 @@
 /// the end of leases was reckoned from the last answer instead, runs were given up that went on
 /// under a start on its way or a renewal whose answer was lost, and their tasks ran twice at a
 /// time.
-std::int64_t lastGrantMs(const RunnerState &state)
+std::int64_t latestLeaseGrantMs(const RunnerState &state)
 {
-    std::int64_t lastMs = state.grantedMs;
-    for (const auto &[id, watch] : state.watches) {
-        lastMs = watch.isRenewal ? std::max(lastMs, watch.sentMs) : lastMs;
+    std::int64_t lastMs = state.leaseGrantSentMs;
+    for (const auto &[id, observation] : state.pendingObservations) {
+        lastMs = observation.isRenewal ? std::max(lastMs, observation.sentMs) : lastMs;
     }
     for (const auto &[id, run] : state.runs) {
         lastMs = run.isStartPending ? std::max(lastMs, run.startSentMs) : lastMs;
@@ -251,23 +254,24 @@
     return state.silentSinceMs != 0 && now.steadyMs > state.silentSinceMs + ms;
 }
 
-void becomeSilent(RunnerState &state, Effects &effects, ObserveOutcome outcome, Common::Moment now)
+void markBackendLost(RunnerState &state, Effects &effects, ObserveOutcome outcome,
+                     Common::Moment now)
 {
-    if (!state.isAlive) {
+    if (!state.isBackendResponsive) {
         return;
     }
     effects.emplace_back(Transient::Note{
             "backend_lost",
             {{"why", std::string(Common::nameOf(Transient::ObserveOutcomeNames, outcome))},
              {"silent_ms", std::to_string(now.steadyMs - state.silentSinceMs)},
-             {"granted_ms_ago", std::to_string(now.steadyMs - lastGrantMs(state))},
+             {"granted_ms_ago", std::to_string(now.steadyMs - latestLeaseGrantMs(state))},
              {"runs", std::to_string(state.runs.size() - state.queue.size())}}});
-    state.isAlive = false;
+    state.isBackendResponsive = false;
     effects.emplace_back(Announce{});
 }
 
-void takeFailure(RunnerState &state, Effects &effects, ObserveOutcome outcome, const Watch &watch,
-                 Common::Moment now)
+void processFailedObservation(RunnerState &state, Effects &effects, ObserveOutcome outcome,
+                              const PendingObservation &observation, Common::Moment now)
 {
     effects.emplace_back(Transient::CountReason{
             "auburntrail_runner_watches_failed_"
@@ -275,44 +279,44 @@
                     + "_total",
             Reason::None});
     if (outcome == ObserveOutcome::Fenced) {
-        passFence(state, watch.fence);
+        raiseRejectedFence(state, observation.fence);
     }
     if (state.silentSinceMs == 0) {
-        state.silentSinceMs = watch.sentMs;
+        state.silentSinceMs = observation.sentMs;
     }
     if (outcome == ObserveOutcome::Unanswered) {
-        state.lossyUntilMs = now.steadyMs + LossyMs;
-        fenceOff(state, watch.fence);
+        state.lossyUntilMs = now.steadyMs + LossyPeriodMs;
+        raiseUnansweredFence(state, observation.fence);
     } else {
-        state.nextWatchMs = now.steadyMs + FailedPauseMs;
+        state.nextObserveMs = now.steadyMs + FailedPauseMs;
     }
     if (outcome == ObserveOutcome::Unanswered || outcome == ObserveOutcome::Refused) {
-        renewed(state, watch);
+        recordRenewal(state, observation);
     }
     const std::int64_t lapsedMs = lapseMs(state);
     const bool isGone =
             outcome == ObserveOutcome::NotConnected || outcome == ObserveOutcome::OtherLife;
-    const bool isOver =
-            isSilentFor(state, lapsedMs, now) && now.steadyMs > lastGrantMs(state) + lapsedMs;
+    const bool isOver = isSilentFor(state, lapsedMs, now)
+                        && now.steadyMs > latestLeaseGrantMs(state) + lapsedMs;
     if (isOver || isSilentFor(state, isGone ? lapsedMs : 2 * lapsedMs, now)) {
-        becomeSilent(state, effects, outcome, now);
+        markBackendLost(state, effects, outcome, now);
     }
     if (isOver) {
-        loseStarted(state, effects, Reason::BackendLost, now);
+        endLostRuns(state, effects, Reason::BackendLost, now);
     }
 }
 
 } // namespace
 
-void beginLife(RunnerState &state, Effects &effects, const Transient::BackendAnnouncement &before,
-               Common::Moment now)
+void beginIncarnation(RunnerState &state, Effects &effects,
+                      const Transient::BackendAnnouncement &before, Common::Moment now)
 {
-    state.formerLives.insert({before.id, before.startedAtMs});
-    for (const auto &[id, watch] : state.watches) {
-        renewed(state, watch);
+    state.previousIncarnations.insert({before.id, before.startedAtMs});
+    for (const auto &[id, observation] : state.pendingObservations) {
+        recordRenewal(state, observation);
     }
     // What was asked of the former life must not be taken for an answer of this one.
-    state.watches.clear();
+    state.pendingObservations.clear();
     state.strays.clear();
     state.silentSinceMs = 0;
     state.lastEnd = 0;
@@ -322,14 +326,15 @@
     ++state.fence;
     // A start may have reached this life before it was met, with a lease by the former life's
     // clock.
-    state.grantedMs = std::max(state.grantedMs,
-                               now.steadyMs + state.times.longestLeaseMs - state.times.leaseMs);
+    state.leaseGrantSentMs =
+            std::max(state.leaseGrantSentMs,
+                     now.steadyMs + state.times.longestLeaseMs - state.times.leaseMs);
     std::vector<RunId> unanswered;
     for (auto &[id, run] : state.runs) {
         if (run.phase == RunPhase::Running) {
             // Over, unless this life has it: the next observation tells.
             run.startAnsweredMs = now.steadyMs + 1;
-            run.missed = MostMissed - 1;
+            run.missedObservations = MissedUntilLost - 1;
         } else if (run.phase != RunPhase::Queued) {
             unanswered.push_back(id);
         }
@@ -339,78 +344,78 @@
         Run &run = state.runs.at(id);
         // The former life may have taken the stop, this one has not.
         run.isStartPending = false;
-        run.stopTakenMs = 0;
+        run.stopAcceptedMs = 0;
         run.stopTries = 0;
         run.nextStopMs = now.steadyMs;
     }
 }
 
-Effects observeMore(RunnerState &state, Common::Moment now)
+Effects observeIfDue(RunnerState &state, Common::Moment now)
 {
     Effects effects;
-    if (!state.backend || now.steadyMs < state.nextWatchMs) {
+    if (!state.backend || now.steadyMs < state.nextObserveMs) {
         return effects;
     }
     std::size_t pending = 0;
-    for (auto &[id, watch] : state.watches) {
+    for (auto &[id, observation] : state.pendingObservations) {
         const bool isOverdue =
-                now.steadyMs > watch.sentMs + watch.waitMs + state.times.watchGraceMs;
-        if (isOverdue && !watch.isOverdue) {
-            watch.isOverdue = true;
-            state.lossyUntilMs = now.steadyMs + LossyMs;
+                now.steadyMs > observation.sentMs + observation.waitMs + state.times.observeGraceMs;
+        if (isOverdue && !observation.isOverdue) {
+            observation.isOverdue = true;
+            state.lossyUntilMs = now.steadyMs + LossyPeriodMs;
         }
-        pending += watch.isOverdue ? 0 : 1;
+        pending += observation.isOverdue ? 0 : 1;
     }
-    const bool isNeeded = isWatchNeeded(state) || !state.isAlive;
+    const bool isNeeded = isObservationNeeded(state) || !state.isBackendResponsive;
     if (!isNeeded) {
         // Without questions there is no silence.
         state.silentSinceMs = 0;
     }
-    if (!isNeeded || pending > 0 || state.watches.size() >= MostWatches) {
+    if (!isNeeded || pending > 0 || state.pendingObservations.size() >= MaxPendingObservations) {
         return effects;
     }
     CallObserve call;
-    call.watch = ++state.lastWatch;
+    call.observation = ++state.lastObservation;
     call.lastEnd = state.lastEnd;
     // A backend server that carries calls out without answering would go on for ever with what this
     // agent takes to have lapsed.
     const bool isSilent = isSilentFor(state, lapseMs(state), now);
-    const bool isRenewal = !isSilent && hasWanted(state) && !hasUnstopped(state, now);
+    const bool isRenewal = !isSilent && hasWantedRun(state) && !hasOverdueStop(state, now);
     call.leaseUntilMs = isRenewal ? leaseUntilMs(state, now) : 0;
-    const bool isWaiting = state.isClean && state.isAlive;
+    const bool isWaiting = state.isClean && state.isBackendResponsive;
     const bool isLossy = now.steadyMs < state.lossyUntilMs;
-    call.waitMs = isWaiting ? (isLossy ? LossyWatchMs : state.times.watchMs) : 0;
+    call.waitMs = isWaiting ? (isLossy ? LossyObserveWaitMs : state.times.observeWaitMs) : 0;
     const bool provesStops =
             std::any_of(state.runs.begin(), state.runs.end(), [](const auto &entry) {
-                return entry.second.phase == RunPhase::Stopping && entry.second.stopTakenMs != 0;
+                return entry.second.phase == RunPhase::Stopping && entry.second.stopAcceptedMs != 0;
             });
     if (provesStops || state.runs.empty()) {
         call.waitMs = 0;
     }
-    state.watches[call.watch] = {now.steadyMs,           call.waitMs, call.lastEnd, false,
-                                 call.leaseUntilMs != 0, state.fence};
+    state.pendingObservations[call.observation] = {
+            now.steadyMs, call.waitMs, call.lastEnd, false, call.leaseUntilMs != 0, state.fence};
     if (call.waitMs == 0) {
         // Without a wait each answer would be followed by the next call at once.
-        state.nextWatchMs = now.steadyMs + FailedPauseMs / 2;
+        state.nextObserveMs = now.steadyMs + FailedPauseMs / 2;
     }
     effects.emplace_back(call);
     return effects;
 }
 
-Effects observed(RunnerState &state, std::uint64_t watch, const Transient::ObserveAnswer &answer,
-                 Common::Moment now)
+Effects observeAnswered(RunnerState &state, std::uint64_t observation,
+                        const Transient::ObserveAnswer &answer, Common::Moment now)
 {
     Effects effects;
-    const auto found = state.watches.find(watch);
-    if (found == state.watches.end()) {
+    const auto found = state.pendingObservations.find(observation);
+    if (found == state.pendingObservations.end()) {
         return effects;
     }
-    const Watch sent = found->second;
-    state.watches.erase(found);
+    const PendingObservation sent = found->second;
+    state.pendingObservations.erase(found);
     if (answer.outcome == ObserveOutcome::Seen) {
-        takeObservation(state, effects, answer.seen, sent, now);
+        processObservation(state, effects, answer.seen, sent, now);
     } else {
-        takeFailure(state, effects, answer.outcome, sent, now);
+        processFailedObservation(state, effects, answer.outcome, sent, now);
     }
     return effects;
 }
--- a/Source/Core/Runner/Watch.h
+++ b/Source/Core/Runner/Observation.h
@@ -10,14 +10,14 @@
 /// its own; ends are numbered, so that two answers with the same ends do no harm.
 namespace Runner {
 
-Effects observeMore(RunnerState &state, Common::Moment now);
+Effects observeIfDue(RunnerState &state, Common::Moment now);
 
 /// The backend server has begun another life, which knows nothing of what ran, was stopped or asked
 /// before.
-void beginLife(RunnerState &state, Effects &effects, const Transient::BackendAnnouncement &before,
-               Common::Moment now);
+void beginIncarnation(RunnerState &state, Effects &effects,
+                      const Transient::BackendAnnouncement &before, Common::Moment now);
 
-Effects observed(RunnerState &state, std::uint64_t watch, const Transient::ObserveAnswer &answer,
-                 Common::Moment now);
+Effects observeAnswered(RunnerState &state, std::uint64_t observation,
+                        const Transient::ObserveAnswer &answer, Common::Moment now);
 
 } // namespace Runner
--- a/Source/Core/Runner/Orphans.cpp
+++ b/Source/Core/Runner/Orphans.cpp
@@ -9,7 +9,7 @@
 
 /// Most starts without an answer are settled by their first stop; the gateways need not hear of
 /// these.
-constexpr std::int64_t UnansweredPatienceMs = 50;
+constexpr std::int64_t UnansweredGraceMs = 50;
 
 std::int64_t suspectAtMs(const RunnerState &state, std::int64_t grantedUntilMs)
 {
@@ -25,22 +25,22 @@
 /// Its start may still be on the way to the backend server.
 bool mayStillStart(const Run &run)
 {
-    return run.phase != RunPhase::Queued && !run.isStartKnown && run.stopTakenMs == 0;
+    return run.phase != RunPhase::Queued && !run.isStartKnown && run.stopAcceptedMs == 0;
 }
 
-bool resistsStop(const Run &run, Common::Moment now)
+bool isStopUnconfirmed(const Run &run, Common::Moment now)
 {
     return run.phase == RunPhase::Stopping
-           && now.steadyMs >= run.stopAskedMs + UnansweredPatienceMs;
+           && now.steadyMs >= run.stopRequestedMs + UnansweredGraceMs;
 }
 
-Schema::OrphanedJobs orphansOf(const RunnerState &state, Common::Moment now)
+Schema::OrphanedJobs collectOrphans(const RunnerState &state, Common::Moment now)
 {
     std::set<std::string> held;
     std::set<std::string> unanswered;
     for (const auto &[id, run] : state.runs) {
         const bool isHeld = isSuspect(state, run.gateway, now);
-        const bool isUnanswered = mayStillStart(run) && (isHeld || resistsStop(run, now));
+        const bool isUnanswered = mayStillStart(run) && (isHeld || isStopUnconfirmed(run, now));
         if (!isHeld && !isUnanswered) {
             continue;
         }
@@ -58,22 +58,23 @@
     return {{held.begin(), held.end()}, {unanswered.begin(), unanswered.end()}};
 }
 
-bool isWider(const std::vector<std::string> &jobs, const std::vector<std::string> &before)
+bool hasAddedJob(const std::vector<std::string> &jobs, const std::vector<std::string> &before)
 {
     return !std::includes(before.begin(), before.end(), jobs.begin(), jobs.end());
 }
 
 } // namespace
 
-void orphansSeen(RunnerState &state, Effects &effects, Common::Moment now)
+void updateOrphans(RunnerState &state, Effects &effects, Common::Moment now)
 {
-    const Schema::OrphanedJobs orphans = orphansOf(state, now);
+    const Schema::OrphanedJobs orphans = collectOrphans(state, now);
     Schema::OrphanedJobs &before = state.orphans;
     if (orphans.held == before.held && orphans.unanswered == before.unanswered) {
         return;
     }
     ++state.orphansChange;
-    if (isWider(orphans.held, before.held) || isWider(orphans.unanswered, before.unanswered)) {
+    if (hasAddedJob(orphans.held, before.held)
+        || hasAddedJob(orphans.unanswered, before.unanswered)) {
         state.urgentOrphansChange = state.orphansChange;
         effects.emplace_back(
                 Transient::Note{"jobs_orphaned",
--- a/Source/Core/Runner/Orphans.h
+++ b/Source/Core/Runner/Orphans.h
@@ -7,7 +7,7 @@
 namespace Runner {
 
 /// Brings state.orphans up to date.
-void orphansSeen(RunnerState &state, Effects &effects, Common::Moment now);
+void updateOrphans(RunnerState &state, Effects &effects, Common::Moment now);
 
 /// When a gateway that has tasks here becomes suspect next.
 std::int64_t nextSuspectMs(const RunnerState &state, Common::Moment now);
--- a/Source/Core/Runner/Pace.cpp
+++ b/Source/Core/Runner/Pace.cpp
@@ -12,53 +12,53 @@
 using Schema::Reason;
 
 /// Until then even a run that stands still may only just have begun.
-constexpr std::int64_t TellingMs = 25;
+constexpr std::int64_t MinPaceSampleMs = 25;
 /// Part of the expected time after which progress in whole percents tells of the pace.
-constexpr double TellingShare = 0.1;
-constexpr std::int64_t ShortestLeftMs = 5;
+constexpr double MinPaceSampleShare = 0.1;
+constexpr std::int64_t MinTimeLeftMs = 5;
 constexpr double WholePercent = 100;
 /// Progress is cut to whole percents: the middle of the step.
 constexpr double HalfPercent = 0.5;
-constexpr double MostRatio = 20;
+constexpr double MaxRatio = 20;
 /// A slowdown that no run shows any more is forgotten, so that the backend server is tried again.
-constexpr double ForgetHalfLifeMs = 1500;
+constexpr double SlowdownHalfLifeMs = 1500;
 /// From here on it is the backend server: declared times are off by less in the mean of its tasks.
-constexpr double SlowFrom = 2;
+constexpr double SlowThreshold = 2;
 /// From here on runs are as good as lost there. What is only slow stays: under a load that the
 /// others cannot take over, moving it throws its work away and makes others late.
-constexpr double StandstillFrom = 6;
+constexpr double StandstillThreshold = 6;
 /// Stop, proof that it is over, and the way to another backend server.
 constexpr std::int64_t MoveMs = 40;
 /// A task that was slow on so many backend servers is slow by itself.
-constexpr std::int64_t MostMoves = 2;
+constexpr std::int64_t MaxMoves = 2;
 
 /// Of the whole run, as its progress at the last observation shows.
-double impliedRunMs(const Run &run)
+double projectedRunMs(const Run &run)
 {
-    const auto seenMs = static_cast<double>(run.progressSeenMs - run.startedMs);
-    return std::max(seenMs, 1.0) * WholePercent / (run.percent + HalfPercent);
+    const auto observedMs = static_cast<double>(run.progressSeenMs - run.startedMs);
+    return std::max(observedMs, 1.0) * WholePercent / (run.percent + HalfPercent);
 }
 
 double ratioOf(const Run &run)
 {
     const double expectedMs = std::max(static_cast<double>(run.expectedMs), 1.0);
-    return std::clamp(impliedRunMs(run) / expectedMs, 1 / MostRatio, MostRatio);
+    return std::clamp(projectedRunMs(run) / expectedMs, 1 / MaxRatio, MaxRatio);
 }
 
 /// By the job itself, at the pace that the backend server should have.
-double ownRunMs(const Run &run, double slowdown)
+double intrinsicRunMs(const Run &run, double slowdown)
 {
-    const double ownRatio = std::max(ratioOf(run) / slowdown, 1.0);
-    return static_cast<double>(run.expectedMs) * ownRatio;
+    const double intrinsicRatio = std::max(ratioOf(run) / slowdown, 1.0);
+    return static_cast<double>(run.expectedMs) * intrinsicRatio;
 }
 
 bool isBetterElsewhere(const Run &run, double slowdown, Common::Moment now)
 {
-    if (run.attempt > MostMoves || !isPaceKnown(run)) {
+    if (run.attempt > MaxMoves || !isPaceKnown(run)) {
         return false;
     }
     const auto leftMs = static_cast<double>(timeLeftMs(run, now));
-    const double elsewhereMs = ownRunMs(run, slowdown) + static_cast<double>(MoveMs);
+    const double elsewhereMs = intrinsicRunMs(run, slowdown) + static_cast<double>(MoveMs);
     const auto untilTargetMs = static_cast<double>(run.targetMs - now.steadyMs);
     return leftMs > untilTargetMs && leftMs > 2 * elsewhereMs;
 }
@@ -67,26 +67,26 @@
 
 bool isPaceKnown(const Run &run)
 {
-    const auto seenMs = static_cast<double>(run.progressSeenMs - run.startedMs);
+    const auto observedMs = static_cast<double>(run.progressSeenMs - run.startedMs);
     return run.phase == RunPhase::Running
-           && seenMs >= std::max(static_cast<double>(TellingMs),
-                                 TellingShare * static_cast<double>(run.expectedMs));
+           && observedMs >= std::max(static_cast<double>(MinPaceSampleMs),
+                                     MinPaceSampleShare * static_cast<double>(run.expectedMs));
 }
 
 std::int64_t timeLeftMs(const Run &run, Common::Moment now)
 {
     if (run.phase != RunPhase::Running) {
-        return std::max(run.expectedMs, ShortestLeftMs);
+        return std::max(run.expectedMs, MinTimeLeftMs);
     }
     const std::int64_t soFarMs = now.steadyMs - run.startedMs;
     if (!isPaceKnown(run)) {
-        return std::max(run.expectedMs - soFarMs, ShortestLeftMs);
+        return std::max(run.expectedMs - soFarMs, MinTimeLeftMs);
     }
     const double boundedMs = ratioOf(run) * static_cast<double>(run.expectedMs);
-    return std::max(static_cast<std::int64_t>(boundedMs) - soFarMs, ShortestLeftMs);
+    return std::max(static_cast<std::int64_t>(boundedMs) - soFarMs, MinTimeLeftMs);
 }
 
-void paceSeen(RunnerState &state, Common::Moment now)
+void updateSlowdown(RunnerState &state, Common::Moment now)
 {
     double sum = 0;
     double count = 0;
@@ -101,26 +101,26 @@
     }
     // One more that goes as expected: a single run may be long by itself.
     state.logSlowdown = sum / (count + 1);
-    state.paceSeenMs = now.steadyMs;
+    state.slowdownUpdatedMs = now.steadyMs;
 }
 
 double slowdownOf(const RunnerState &state, Common::Moment now)
 {
-    const auto idleMs = static_cast<double>(now.steadyMs - state.paceSeenMs);
-    const double slowdown = std::exp(state.logSlowdown * std::exp2(-idleMs / ForgetHalfLifeMs));
-    return slowdown < SlowFrom ? 1 : slowdown;
+    const auto idleMs = static_cast<double>(now.steadyMs - state.slowdownUpdatedMs);
+    const double slowdown = std::exp(state.logSlowdown * std::exp2(-idleMs / SlowdownHalfLifeMs));
+    return slowdown < SlowThreshold ? 1 : slowdown;
 }
 
 Effects moveFromSlow(RunnerState &state, Common::Moment now)
 {
     Effects effects;
     const double slowdown = slowdownOf(state, now);
-    if (!state.decisions.movesFromSlow || slowdown < StandstillFrom) {
+    if (!state.decisions.movesFromSlow || slowdown < StandstillThreshold) {
         return effects;
     }
     std::vector<RunId> moving;
     for (const auto &[id, run] : state.runs) {
-        const bool isWaiting = run.phase == RunPhase::Queued && run.attempt <= MostMoves;
+        const bool isWaiting = run.phase == RunPhase::Queued && run.attempt <= MaxMoves;
         if (isWaiting || isBetterElsewhere(run, slowdown, now)) {
             moving.push_back(id);
         }
--- a/Source/Core/Runner/Pace.h
+++ b/Source/Core/Runner/Pace.h
@@ -17,7 +17,7 @@
 std::int64_t timeLeftMs(const Run &run, Common::Moment now);
 
 /// Takes the progress of what runs into the backend server's slowdown.
-void paceSeen(RunnerState &state, Common::Moment now);
+void updateSlowdown(RunnerState &state, Common::Moment now);
 
 /// By how much runs take longer there than expected; 1 where they do not, or nothing is known.
 double slowdownOf(const RunnerState &state, Common::Moment now);
--- a/Source/Core/Runner/Runner.cpp
+++ b/Source/Core/Runner/Runner.cpp
@@ -3,10 +3,10 @@
 #include <algorithm>
 #include <limits>
 
+#include "Runner/Observation.h"
 #include "Runner/Orphans.h"
 #include "Runner/Pace.h"
 #include "Runner/RunQueue.h"
-#include "Runner/Watch.h"
 
 namespace Runner {
 
@@ -17,10 +17,10 @@
 
 /// Orders that went unanswered have been carried out up to 12 s later: numbers are remembered for
 /// longer than that.
-constexpr std::int64_t NumberMemoryMs = 30'000;
+constexpr std::int64_t UsedNumberRetentionMs = 30'000;
 /// A link that was lost is back, or its gateway counts as lost, well before.
-constexpr std::int64_t RecentMemoryMs = 3000;
-constexpr std::int64_t ForgetEveryMs = 5000;
+constexpr std::int64_t RecentEndRetentionMs = 3000;
+constexpr std::int64_t PruneIntervalMs = 5000;
 
 Run makeRun(const std::string &gateway, const Schema::TaskOrders &orders,
             const Schema::TaskAttempt &attempt, Common::Moment now)
@@ -39,8 +39,8 @@
     return run;
 }
 
-void giveBack(Effects &effects, const std::string &gateway, const Schema::TaskAttempt &attempt,
-              AttemptPhase phase, Reason reason)
+void returnTask(Effects &effects, const std::string &gateway, const Schema::TaskAttempt &attempt,
+                AttemptPhase phase, Reason reason)
 {
     Schema::AttemptState state;
     state.task = attempt.task;
@@ -55,7 +55,7 @@
     effects.emplace_back(ReportAttempt{gateway, state});
 }
 
-void giveBackQueued(RunnerState &state, Effects &effects, Reason reason, Common::Moment now)
+void returnQueuedTasks(RunnerState &state, Effects &effects, Reason reason, Common::Moment now)
 {
     const std::vector<RunId> queued = state.queue;
     for (const RunId id : queued) {
@@ -69,8 +69,9 @@
     // does not answer, any other may have its place: the time of day that lives begin at can jump.
     const bool isOlder = state.backend && state.backend->startedAtMs != 0
                          && announcement.startedAtMs < state.backend->startedAtMs;
-    const bool isFormer = state.formerLives.count({announcement.id, announcement.startedAtMs}) != 0;
-    if (state.isAlive && (isOlder || isFormer)) {
+    const bool isPrevious =
+            state.previousIncarnations.count({announcement.id, announcement.startedAtMs}) != 0;
+    if (state.isBackendResponsive && (isOlder || isPrevious)) {
         return true;
     }
     return state.backend && state.backend->id == announcement.id
@@ -78,24 +79,24 @@
            && announcement.sequence <= state.backend->sequence;
 }
 
-void forgetRecent(RunnerState &state, Common::Moment now)
+void pruneRecentEnds(RunnerState &state, Common::Moment now)
 {
-    for (auto &[gateway, ends] : state.recent) {
-        while (!ends.empty() && now.steadyMs > ends.front().endedMs + RecentMemoryMs) {
+    for (auto &[gateway, ends] : state.recentEnds) {
+        while (!ends.empty() && now.steadyMs > ends.front().endedMs + RecentEndRetentionMs) {
             ends.pop_front();
         }
     }
 }
 
-void forgetNumbers(RunnerState &state, Common::Moment now)
+void pruneUsedNumbers(RunnerState &state, Common::Moment now)
 {
-    if (now.steadyMs < state.forgotNumbersMs + ForgetEveryMs) {
+    if (now.steadyMs < state.prunedNumbersMs + PruneIntervalMs) {
         return;
     }
-    state.forgotNumbersMs = now.steadyMs;
-    for (auto entry = state.numbers.begin(); entry != state.numbers.end();) {
-        const bool isOld = now.steadyMs > entry->second.usedMs + NumberMemoryMs;
-        entry = isOld ? state.numbers.erase(entry) : std::next(entry);
+    state.prunedNumbersMs = now.steadyMs;
+    for (auto entry = state.usedNumbers.begin(); entry != state.usedNumbers.end();) {
+        const bool isOld = now.steadyMs > entry->second.usedMs + UsedNumberRetentionMs;
+        entry = isOld ? state.usedNumbers.erase(entry) : std::next(entry);
     }
 }
 
@@ -116,11 +117,12 @@
     const std::optional<Transient::BackendAnnouncement> before = state.backend;
     const bool wasAccepting = isAccepting(state);
     state.backend = announcement;
-    const bool isOtherLife = before
-                             && (before->id != announcement.id
-                                 || (announcement.startedAtMs != 0 && before->startedAtMs != 0
-                                     && before->startedAtMs != announcement.startedAtMs));
-    if (isOtherLife || !before) {
+    const bool isOtherIncarnation =
+            before
+            && (before->id != announcement.id
+                || (announcement.startedAtMs != 0 && before->startedAtMs != 0
+                    && before->startedAtMs != announcement.startedAtMs));
+    if (isOtherIncarnation || !before) {
         effects.emplace_back(
                 Transient::Note{"backend_announced",
                                 {{"id", announcement.id},
@@ -129,18 +131,18 @@
                                  {"processors", std::to_string(announcement.resources.processors)},
                                  {"sequence", std::to_string(announcement.sequence)}}});
     }
-    if (isOtherLife) {
+    if (isOtherIncarnation) {
         state.clockOffsetMs.reset();
-        state.isAlive = true;
-        beginLife(state, effects, *before, now);
+        state.isBackendResponsive = true;
+        beginIncarnation(state, effects, *before, now);
     }
     if (announcement.leaving && (!before || !before->leaving)) {
         effects.emplace_back(Transient::Note{
                 "backend_leaving",
                 {{"id", announcement.id}, {"queued", std::to_string(state.queue.size())}}});
-        giveBackQueued(state, effects, Reason::AgentDraining, now);
+        returnQueuedTasks(state, effects, Reason::AgentDraining, now);
     }
-    if (isOtherLife || !before || wasAccepting != isAccepting(state)) {
+    if (isOtherIncarnation || !before || wasAccepting != isAccepting(state)) {
         effects.emplace_back(Announce{});
     }
     return effects;
@@ -154,7 +156,7 @@
     }
     effects.emplace_back(Transient::Note{"backend_left", {{"id", id}}});
     state.backend->leaving = true;
-    giveBackQueued(state, effects, Reason::AgentDraining, now);
+    returnQueuedTasks(state, effects, Reason::AgentDraining, now);
     // What runs there may last some moments yet: it is given up when its lease is over.
     effects.emplace_back(Announce{});
     return effects;
@@ -178,7 +180,7 @@
     state.urgentPriority = std::min(state.urgentPriority, orders.priority);
     for (const Schema::TaskAttempt &attempt : orders.tasks) {
         if (!isAccepting(state)) {
-            giveBack(effects, gateway, attempt, AttemptPhase::NotStarted, Reason::AgentDraining);
+            returnTask(effects, gateway, attempt, AttemptPhase::NotStarted, Reason::AgentDraining);
             continue;
         }
         const RunId id = ++state.lastRun;
@@ -201,7 +203,7 @@
                 });
         if (found == state.runs.end()) {
             // Its end is on the way to the gateway, or was lost with a link.
-            giveBack(effects, gateway, attempt, AttemptPhase::Stopped, Reason::Withdrawn);
+            returnTask(effects, gateway, attempt, AttemptPhase::Stopped, Reason::Withdrawn);
             continue;
         }
         const RunId id = found->first;
@@ -225,7 +227,7 @@
         stopRun(state, effects, id, Reason::GatewayLost, now);
     }
     state.lastOrders.erase(gateway);
-    state.recent.erase(gateway);
+    state.recentEnds.erase(gateway);
     state.grants.erase(gateway);
     return effects;
 }
@@ -234,7 +236,7 @@
 {
     Effects effects;
     state.isStopping = true;
-    giveBackQueued(state, effects, Reason::AgentDraining, now);
+    returnQueuedTasks(state, effects, Reason::AgentDraining, now);
     effects.emplace_back(Announce{});
     return effects;
 }
@@ -256,7 +258,7 @@
             state.decisions.movesFromSlow = false;
             break;
         case AgentDecision::StartLimits:
-            state.decisions.learnsStartLimit = false;
+            state.decisions.learnsStartTimeout = false;
             break;
         }
     }
@@ -275,12 +277,12 @@
         append(effects, gatewayLost(state, gateway, now));
     }
     append(effects, moveFromSlow(state, now));
-    append(effects, driveStops(state, now));
+    append(effects, sendDueStops(state, now));
     append(effects, startRuns(state, now));
-    append(effects, observeMore(state, now));
-    orphansSeen(state, effects, now);
-    forgetNumbers(state, now);
-    forgetRecent(state, now);
+    append(effects, observeIfDue(state, now));
+    updateOrphans(state, effects, now);
+    pruneUsedNumbers(state, now);
+    pruneRecentEnds(state, now);
     return effects;
 }
 
@@ -291,7 +293,7 @@
     for (const auto &[id, run] : state.runs) {
         if (run.phase != RunPhase::Stopping) {
             next = std::min(next, run.deadlineMs);
-        } else if (run.stopTakenMs == 0) {
+        } else if (run.stopAcceptedMs == 0) {
             next = std::min(next, run.nextStopMs);
         }
         if (run.phase == RunPhase::Queued && run.notBeforeMs > now.steadyMs) {
@@ -302,13 +304,14 @@
         next = std::min(next, untilMs);
     }
     next = std::min(next, nextSuspectMs(state, now));
-    for (const auto &[id, watch] : state.watches) {
-        if (!watch.isOverdue) {
-            next = std::min(next, watch.sentMs + watch.waitMs + state.times.watchGraceMs + 1);
+    for (const auto &[id, observation] : state.pendingObservations) {
+        if (!observation.isOverdue) {
+            next = std::min(next, observation.sentMs + observation.waitMs
+                                          + state.times.observeGraceMs + 1);
         }
     }
-    if (state.nextWatchMs > now.steadyMs) {
-        next = std::min(next, state.nextWatchMs);
+    if (state.nextObserveMs > now.steadyMs) {
+        next = std::min(next, state.nextObserveMs);
     }
     return next;
 }
--- a/Source/Core/Runner/RunnerDaemon.cpp
+++ b/Source/Core/Runner/RunnerDaemon.cpp
@@ -10,8 +10,8 @@
 #include "Common/Common.h"
 #include "Net/Net.h"
 #include "platform/Platform.h"
+#include "Runner/Observation.h"
 #include "Runner/Runner.h"
-#include "Runner/Watch.h"
 #include "StoreClient/StoreClient.h"
 
 namespace Runner {
@@ -33,11 +33,11 @@
 constexpr std::int64_t RelinkMs = 300;
 /// A change of the load by this part of the capacity is told at once, but not more often than the
 /// pause allows.
-constexpr double TellingLoadShare = 0.1;
+constexpr double SignificantLoadShare = 0.1;
 /// Without any gateway, the store is asked for their addresses so often.
-constexpr std::int64_t AskStoreMs = 2000;
+constexpr std::int64_t StoreReadIntervalMs = 2000;
 
-struct BackendSpoke
+struct RegistrationReceived
 {
     Platform::Registration registration;
 };
@@ -53,12 +53,12 @@
 {
     std::string task;
     std::int64_t number = 0;
-    bool taken = false;
+    bool accepted = false;
 };
 
 struct ObserveEnded
 {
-    std::uint64_t watch = 0;
+    std::uint64_t observation = 0;
     Transient::ObserveAnswer answer;
 };
 
@@ -71,8 +71,8 @@
 {};
 
 using ControlMessage =
-        std::variant<Net::LinkUp, Net::LinkDown, Net::FrameArrived, BackendSpoke, StartEnded,
-                     StopEnded, ObserveEnded, GatewaysRead, StopRequested>;
+        std::variant<Net::LinkUp, Net::LinkDown, Net::FrameArrived, RegistrationReceived,
+                     StartEnded, StopEnded, ObserveEnded, GatewaysRead, StopRequested>;
 
 /// A link to a gateway, from the dial on.
 struct GatewayLink
@@ -80,11 +80,11 @@
     std::string address;
     /// Empty until the gateway has announced itself.
     std::string instance;
-    std::int64_t heardMs = 0;
+    std::int64_t lastReceivedMs = 0;
     std::int64_t sentMs = 0;
-    double toldProcessors = 0;
+    double reportedProcessors = 0;
     /// The last change of the orphaned jobs that it was told.
-    std::uint64_t toldOrphans = 0;
+    std::uint64_t reportedOrphansChange = 0;
     std::vector<Schema::AttemptState> unsent;
 };
 
@@ -100,7 +100,7 @@
     void on(const Net::LinkUp &event);
     void on(const Net::LinkDown &event);
     void on(const Net::FrameArrived &event);
-    void on(const BackendSpoke &event);
+    void on(const RegistrationReceived &event);
     void on(const StartEnded &event);
     void on(const StopEnded &event);
     void on(const ObserveEnded &event);
@@ -118,14 +118,14 @@
 
     void gatewayAnnounced(Net::LinkId id, const Schema::GatewayAnnouncement &announcement);
     void announceTo(Net::LinkId id, GatewayLink &link);
-    void passTime();
+    void runPeriodicWork();
     void dialGateways();
-    void dropSilent();
-    void askStore();
+    void closeSilentLinks();
+    void readGatewaysFromStore();
     void sendReports();
     bool isReportDue(const GatewayLink &link, double processors) const;
     void sendTo(Net::LinkId id, GatewayLink &link, const Schema::Frame &frame);
-    Net::HttpResponse answerBackend(const Net::HttpRequest &request);
+    Net::HttpResponse handleRegistration(const Net::HttpRequest &request);
     Platform::BackendTarget target() const;
     std::int64_t nextWake() const;
 
@@ -141,14 +141,14 @@
     /// The process that last announced itself at an address.
     std::map<std::string, std::string> instanceAt;
     std::int64_t stopDeadlineMs = 0;
-    std::int64_t askedStoreMs = 0;
+    std::int64_t storeReadMs = 0;
 
     // Last, so that their threads end before what they post to.
     std::unique_ptr<Net::PeerHub> hub;
     std::unique_ptr<Net::HttpClient> backend;
     std::unique_ptr<StoreClient::Client> store;
     std::unique_ptr<Net::HttpServer> registration;
-    std::unique_ptr<Net::HttpServer> operators;
+    std::unique_ptr<Net::HttpServer> metricsServer;
 };
 
 RunnerDaemon::Implementation::Implementation(Schema::TransientAgentSettings chosen)
@@ -183,22 +183,22 @@
             Net::HttpServerBuilder()
                     .listenOn(address.host, address.port)
                     .handler([this](const Net::HttpRequest &request, const Net::HttpReply &reply) {
-                        reply.send(this->answerBackend(request));
+                        reply.send(this->handleRegistration(request));
                     })
                     .build();
-    this->operators = Net::serveMetrics(this->settings.host,
-                                        static_cast<std::uint16_t>(this->settings.metricsPort),
-                                        this->metrics);
+    this->metricsServer = Net::serveMetrics(this->settings.host,
+                                            static_cast<std::uint16_t>(this->settings.metricsPort),
+                                            this->metrics);
 }
 
 /// Runs on the HTTP thread. An announcement is acknowledged at once: what follows from it is
 /// decided within milliseconds, and the backend server may call again any time.
-Net::HttpResponse RunnerDaemon::Implementation::answerBackend(const Net::HttpRequest &request)
+Net::HttpResponse RunnerDaemon::Implementation::handleRegistration(const Net::HttpRequest &request)
 {
     return Common::handle(
             [&]() -> Common::Outcome<Net::HttpResponse> {
                 BOOST_LEAF_AUTO(registration, Platform::decodeRegistration(request));
-                this->mailbox.post(BackendSpoke{std::move(registration)});
+                this->mailbox.post(RegistrationReceived{std::move(registration)});
                 return Net::HttpResponse{200, "{}", "application/json", 0, false};
             },
             [&](const Common::Failure &failure) {
@@ -226,7 +226,7 @@
         for (const ControlMessage &message : messages) {
             std::visit([this](const auto &event) { this->on(event); }, message);
         }
-        this->passTime();
+        this->runPeriodicWork();
         if (!this->state.isStopping) {
             continue;
         }
@@ -255,7 +255,7 @@
 {
     const auto found = this->links.find(event.link);
     if (found != this->links.end()) {
-        found->second.heardMs = this->now.steadyMs;
+        found->second.lastReceivedMs = this->now.steadyMs;
     }
 }
 
@@ -280,7 +280,7 @@
         return;
     }
     GatewayLink &link = found->second;
-    link.heardMs = this->now.steadyMs;
+    link.lastReceivedMs = this->now.steadyMs;
     const Schema::Frame &frame = event.frame;
     if (frame.gatewayAnnouncement) {
         this->gatewayAnnounced(event.link, *frame.gatewayAnnouncement);
@@ -316,9 +316,9 @@
     Common::logEvent(LogLevel::Info, "gateway_linked",
                      {{"gateway", link.instance}, {"address", link.address}});
     this->announceTo(id, link);
-    const auto recent = this->state.recent.find(link.instance);
-    if (recent != this->state.recent.end()) {
-        for (const RecentEnd &end : recent->second) {
+    const auto recentEnds = this->state.recentEnds.find(link.instance);
+    if (recentEnds != this->state.recentEnds.end()) {
+        for (const RecentEnd &end : recentEnds->second) {
             link.unsent.push_back(end.state);
         }
     }
@@ -328,8 +328,8 @@
 {
     Schema::Frame frame = frameOf(Schema::FrameType::AgentAnnouncement);
     frame.agentAnnouncement = announcementFor(this->state, link.instance, this->now);
-    link.toldProcessors = frame.agentAnnouncement->load.committedProcessors;
-    link.toldOrphans = this->state.orphansChange;
+    link.reportedProcessors = frame.agentAnnouncement->load.committedProcessors;
+    link.reportedOrphansChange = this->state.orphansChange;
     this->sendTo(id, link, frame);
 }
 
@@ -344,7 +344,7 @@
     }
 }
 
-void RunnerDaemon::Implementation::on(const BackendSpoke &event)
+void RunnerDaemon::Implementation::on(const RegistrationReceived &event)
 {
     const Platform::Registration &registration = event.registration;
     if (registration.kind == Platform::RegistrationKind::Leave) {
@@ -361,12 +361,12 @@
 
 void RunnerDaemon::Implementation::on(const StopEnded &event)
 {
-    stopAnswered(this->state, event.task, event.number, event.taken, this->now);
+    stopAnswered(this->state, event.task, event.number, event.accepted, this->now);
 }
 
 void RunnerDaemon::Implementation::on(const ObserveEnded &event)
 {
-    this->carryOut(observed(this->state, event.watch, event.answer, this->now));
+    this->carryOut(observeAnswered(this->state, event.observation, event.answer, this->now));
 }
 
 void RunnerDaemon::Implementation::on(const GatewaysRead &event)
@@ -437,10 +437,10 @@
     Net::HttpCall call = Platform::observeCall(this->target(), request);
     call.timeoutMs = effect.waitMs + ObserveTimeoutMs;
     call.connectTimeoutMs = ObserveTimeoutMs;
-    this->backend->send(
-            std::move(call), [this, watch = effect.watch](const Net::HttpResult &result) {
-                this->mailbox.post(ObserveEnded{watch, Platform::decodeObservation(result)});
-            });
+    this->backend->send(std::move(call), [this, observation = effect.observation](
+                                                 const Net::HttpResult &result) {
+        this->mailbox.post(ObserveEnded{observation, Platform::decodeObservation(result)});
+    });
 }
 
 void RunnerDaemon::Implementation::carryOut(const ReportAttempt &effect)
@@ -475,12 +475,12 @@
     Common::logEvent(LogLevel::Info, effect.event, effect.fields);
 }
 
-void RunnerDaemon::Implementation::passTime()
+void RunnerDaemon::Implementation::runPeriodicWork()
 {
     this->carryOut(tick(this->state, this->now));
-    this->dropSilent();
+    this->closeSilentLinks();
     this->dialGateways();
-    this->askStore();
+    this->readGatewaysFromStore();
     this->sendReports();
 }
 
@@ -492,15 +492,15 @@
                 this->hub->connect(target.host, target.port, Transient::DialTimeoutMs);
         GatewayLink link;
         link.address = address;
-        link.heardMs = this->now.steadyMs;
+        link.lastReceivedMs = this->now.steadyMs;
         this->links.emplace(id, std::move(link));
     }
 }
 
-void RunnerDaemon::Implementation::dropSilent()
+void RunnerDaemon::Implementation::closeSilentLinks()
 {
     for (const auto &[id, link] : this->links) {
-        if (this->now.steadyMs > link.heardMs + this->settings.silenceMs) {
+        if (this->now.steadyMs > link.lastReceivedMs + this->settings.silenceMs) {
             // Gateways beat three times as often: the connection or the gateway is dead.
             this->hub->close(id);
         }
@@ -515,15 +515,15 @@
     }
 }
 
-void RunnerDaemon::Implementation::askStore()
+void RunnerDaemon::Implementation::readGatewaysFromStore()
 {
     const bool hasGateway =
             std::any_of(this->links.begin(), this->links.end(),
                         [](const auto &entry) { return !entry.second.instance.empty(); });
-    if (hasGateway || this->now.steadyMs < this->askedStoreMs + AskStoreMs) {
+    if (hasGateway || this->now.steadyMs < this->storeReadMs + StoreReadIntervalMs) {
         return;
     }
-    this->askedStoreMs = this->now.steadyMs;
+    this->storeReadMs = this->now.steadyMs;
     this->store->readOnce(
             Platform::StoreTopic::Gateways, [this](const StoreClient::StoreNews &news) {
                 this->mailbox.post(GatewaysRead{Platform::decodeMembers(news.records)});
@@ -532,16 +532,16 @@
 
 bool RunnerDaemon::Implementation::isReportDue(const GatewayLink &link, double processors) const
 {
-    if (isUrgent(link.unsent) || link.toldOrphans < this->state.urgentOrphansChange
+    if (isUrgent(link.unsent) || link.reportedOrphansChange < this->state.urgentOrphansChange
         || this->now.steadyMs >= link.sentMs + this->settings.heartbeatMs) {
         return true;
     }
     if (!this->state.backend
-        || this->now.steadyMs < link.sentMs + loadPauseMs(this->links.size())) {
+        || this->now.steadyMs < link.sentMs + loadReportIntervalMs(this->links.size())) {
         return false;
     }
-    const double change = std::abs(processors - link.toldProcessors);
-    return change > this->state.backend->resources.processors * TellingLoadShare;
+    const double change = std::abs(processors - link.reportedProcessors);
+    return change > this->state.backend->resources.processors * SignificantLoadShare;
 }
 
 void RunnerDaemon::Implementation::sendReports()
@@ -556,10 +556,10 @@
         frame.agentReport->load = loadFor(this->state, link.instance, this->now);
         frame.agentReport->states = std::move(link.unsent);
         link.unsent.clear();
-        link.toldProcessors = frame.agentReport->load.committedProcessors;
-        if (link.toldOrphans != this->state.orphansChange) {
+        link.reportedProcessors = frame.agentReport->load.committedProcessors;
+        if (link.reportedOrphansChange != this->state.orphansChange) {
             frame.agentReport->orphans = this->state.orphans;
-            link.toldOrphans = this->state.orphansChange;
+            link.reportedOrphansChange = this->state.orphansChange;
         }
         this->sendTo(id, link, frame);
     }
@@ -572,14 +572,14 @@
 RunnerDaemon::~RunnerDaemon()
 {
     this->implementation->registration->stop();
-    this->implementation->operators->stop();
+    this->implementation->metricsServer->stop();
     this->implementation->store->stop();
     this->implementation->hub->stop();
 }
 
 std::uint16_t RunnerDaemon::metricsPort() const
 {
-    return this->implementation->operators->port();
+    return this->implementation->metricsServer->port();
 }
 
 void RunnerDaemon::requestStop()
--- a/Source/Core/Runner/RunnerState.h
+++ b/Source/Core/Runner/RunnerState.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "Common/Common.h"
-#include "Runner/StartLimit.h"
+#include "Runner/StartTimeout.h"
 #include "Schema/Schema.h"
 #include "Transient/Resubmission.h"
 #include "Transient/Transient.h"
@@ -73,14 +73,14 @@
     /// When an observation showed that; 0 before.
     std::int64_t progressSeenMs = 0;
     /// Observations sent after its start that did not show it.
-    int missed = 0;
+    int missedObservations = 0;
 
     Schema::Reason stopReason = Schema::Reason::None;
-    std::int64_t stopAskedMs = 0;
+    std::int64_t stopRequestedMs = 0;
     int stopTries = 0;
     std::int64_t nextStopMs = 0;
     /// When the backend server had taken the stop in; 0 before.
-    std::int64_t stopTakenMs = 0;
+    std::int64_t stopAcceptedMs = 0;
 };
 
 /// Call the backend server; each comes back through the function of its name.
@@ -100,7 +100,7 @@
 
 struct CallObserve
 {
-    std::uint64_t watch = 0;
+    std::uint64_t observation = 0;
     std::int64_t lastEnd = 0;
     std::int64_t leaseUntilMs = 0;
     std::int64_t waitMs = 0;
@@ -122,7 +122,7 @@
 using Common::append;
 
 /// One observation that was asked for.
-struct Watch
+struct PendingObservation
 {
     std::int64_t sentMs = 0;
     std::int64_t waitMs = 0;
@@ -141,10 +141,10 @@
     /// That the backend server grants at most, whatever it is asked for.
     std::int64_t longestLeaseMs = 1000;
     /// How long an observation waits for an end: a third of the lease, since it renews as well.
-    std::int64_t watchMs = 200;
+    std::int64_t observeWaitMs = 200;
     /// An observation that has not come back so long after its wait is followed by another one on
     /// another connection: answers that were lost would otherwise hide every end meanwhile.
-    std::int64_t watchGraceMs = 40;
+    std::int64_t observeGraceMs = 40;
     /// Between the first stops of a run, without a wait for their answers: where every second one
     /// goes unanswered, one of them is taken long before a caller submits again.
     std::int64_t stopRetryMs = 40;
@@ -153,7 +153,7 @@
     std::int64_t laterStopRetryMs = 120;
     /// What has to end and has no confirmed stop by then is renewed no more, and nothing else there
     /// is: it would go on until its caller has submitted it again.
-    std::int64_t unstoppedMs = 150;
+    std::int64_t stopOverdueMs = 150;
     /// A start without an answer has taken effect by then or never does: orders have been carried
     /// out up to 12 s late; slack.
     std::int64_t lateStartMs = 13'500;
@@ -163,7 +163,7 @@
     std::int64_t suspectMs = Transient::suspectTimeMs(Transient::LeaseMs);
 };
 
-struct KnownNumber
+struct UsedNumber
 {
     std::int64_t number = 0;
     std::int64_t usedMs = 0;
@@ -187,13 +187,13 @@
     /// By priority and latest start; otherwise in the order of arrival.
     bool ordersByUrgency = true;
     bool movesFromSlow = true;
-    bool learnsStartLimit = true;
+    bool learnsStartTimeout = true;
 };
 
 struct RunnerState
 {
     RunnerDecisions decisions;
-    StartLimit startLimit;
+    StartTimeout startTimeout;
     std::string name;
     std::string instance;
     std::string failureDomain;
@@ -203,7 +203,7 @@
     /// What the backend server said of itself last.
     std::optional<Transient::BackendAnnouncement> backend;
     /// Lives that others have followed, by id and start: their announcements may arrive late.
-    std::set<std::pair<std::string, std::int64_t>> formerLives;
+    std::set<std::pair<std::string, std::int64_t>> previousIncarnations;
     /// Its clock minus ours, as the last answer showed.
     std::optional<std::int64_t> clockOffsetMs;
     std::int64_t fence = 0;
@@ -211,12 +211,12 @@
     bool isClean = false;
     bool isStopping = false;
     /// The backend server answers.
-    bool isAlive = true;
+    bool isBackendResponsive = true;
     /// When the first observation was sent that has not been answered since; 0 while none failed.
     /// An agent without runs asks nothing: the time since the last answer says nothing of silence.
     std::int64_t silentSinceMs = 0;
     /// When the last call was sent that may have granted a lease, of those that have come back.
-    std::int64_t grantedMs = 0;
+    std::int64_t leaseGrantSentMs = 0;
 
     RunId lastRun = 0;
     std::map<RunId, Run> runs;
@@ -225,21 +225,21 @@
     /// The lowest that any order had: its tasks go before all others.
     std::int64_t urgentPriority = std::numeric_limits<std::int64_t>::max();
     /// Highest run number used of each task: a task may come back, also through another gateway.
-    std::unordered_map<std::string, KnownNumber> numbers;
+    std::unordered_map<std::string, UsedNumber> usedNumbers;
 
-    std::uint64_t lastWatch = 0;
-    std::map<std::uint64_t, Watch> watches;
+    std::uint64_t lastObservation = 0;
+    std::map<std::uint64_t, PendingObservation> pendingObservations;
     std::int64_t lastEnd = 0;
     std::int64_t acknowledgedEnd = 0;
     /// Observations are made more often for a while after one was lost.
     std::int64_t lossyUntilMs = 0;
-    std::int64_t nextWatchMs = 0;
+    std::int64_t nextObserveMs = 0;
     /// By task and number: runs that the backend server shows and nobody here wants.
     std::map<std::pair<std::string, std::int64_t>, Stray> strays;
-    std::int64_t forgotNumbersMs = 0;
+    std::int64_t prunedNumbersMs = 0;
     /// Logarithm of the time that runs take here over the expected one, as progress showed it last.
     double logSlowdown = 0;
-    std::int64_t paceSeenMs = 0;
+    std::int64_t slowdownUpdatedMs = 0;
 
     /// By the gateway's instance: until when this agent may act for it. A gateway repeats the time
     /// at which the agent wrote what it heard last; from that time on the grant counts. So an agent
@@ -255,7 +255,7 @@
     std::map<std::string, std::int64_t> lastOrders;
     /// By the gateway's instance: ends that it was told of lately. They are told again on a new
     /// link, since the frame may have been lost with the old one.
-    std::map<std::string, std::deque<RecentEnd>> recent;
+    std::map<std::string, std::deque<RecentEnd>> recentEnds;
 };
 
 } // namespace Runner
--- a/Source/Core/Runner/Runs.cpp
+++ b/Source/Core/Runner/Runs.cpp
@@ -16,13 +16,13 @@
 constexpr const char *StartCounter = "auburntrail_runner_starts_total";
 /// Tries at finding a run number that the backend server takes: each skips twice as many, so that
 /// these pass any number that a day of resubmissions can have used.
-constexpr int MostStartTries = 10;
+constexpr int MaxStartTries = 10;
 /// The backend server's room is not what it seems here, or a stop is still under way: 50 ms is the
 /// longest that one takes.
-constexpr std::int64_t RoomPauseMs = 50;
+constexpr std::int64_t NoRoomRetryMs = 50;
 
-Transient::Note runNote(const char *event, const Run &run, Common::Moment now,
-                        std::vector<std::pair<std::string, std::string>> more)
+Transient::Note runLogLine(const char *event, const Run &run, Common::Moment now,
+                           std::vector<std::pair<std::string, std::string>> more)
 {
     Transient::Note note{event,
                          {{"task", run.task},
@@ -44,8 +44,8 @@
 
 std::int64_t nextNumber(const RunnerState &state, const Run &run)
 {
-    const auto known = state.numbers.find(run.task);
-    const std::int64_t above = known == state.numbers.end() ? 0 : known->second.number;
+    const auto known = state.usedNumbers.find(run.task);
+    const std::int64_t above = known == state.usedNumbers.end() ? 0 : known->second.number;
     return std::max(above + 1, run.attempt);
 }
 
@@ -58,9 +58,9 @@
     run.startFence = state.fence;
     run.isStartPending = true;
     run.isStartKnown = false;
-    run.missed = 0;
+    run.missedObservations = 0;
     ++run.startTries;
-    state.numbers[run.task] = {run.number, now.steadyMs};
+    state.usedNumbers[run.task] = {run.number, now.steadyMs};
     CallStart call;
     call.run = id;
     call.start.task = run.task;
@@ -68,20 +68,20 @@
     call.start.payload = run.payload;
     call.start.leaseUntilMs = leaseUntilMs(state, now);
     call.start.fence = state.fence;
-    call.timeoutMs =
-            startLimitMs(state.decisions.learnsStartLimit ? state.startLimit : StartLimit{});
+    call.timeoutMs = startTimeoutMs(state.decisions.learnsStartTimeout ? state.startTimeout
+                                                                       : StartTimeout{});
     return call;
 }
 
 void skipNumbers(RunnerState &state, const Run &run, Common::Moment now)
 {
-    KnownNumber &known = state.numbers[run.task];
+    UsedNumber &known = state.usedNumbers[run.task];
     known.number = std::max(known.number, run.number) + (std::int64_t{1} << run.startTries);
     known.usedMs = now.steadyMs;
 }
 
 /// Whether a start that ended so may have renewed the lease of everything there.
-bool mayHaveGranted(StartOutcome outcome)
+bool mayHaveRenewedLease(StartOutcome outcome)
 {
     switch (outcome) {
     case StartOutcome::Started:
@@ -94,7 +94,7 @@
     }
 }
 
-void startedNow(RunnerState &state, Effects &effects, RunId id, Common::Moment now)
+void handleStarted(RunnerState &state, Effects &effects, RunId id, Common::Moment now)
 {
     Run &run = state.runs.at(id);
     run.phase = RunPhase::Running;
@@ -105,30 +105,31 @@
     started.attempt = run.attempt;
     started.phase = AttemptPhase::Running;
     effects.emplace_back(ReportAttempt{run.gateway, started});
-    effects.emplace_back(runNote("run_started", run, now,
-                                 {{"tries", std::to_string(run.startTries)},
-                                  {"answer_ms", std::to_string(now.steadyMs - run.startSentMs)}}));
+    effects.emplace_back(
+            runLogLine("run_started", run, now,
+                       {{"tries", std::to_string(run.startTries)},
+                        {"answer_ms", std::to_string(now.steadyMs - run.startSentMs)}}));
 }
 
 /// The backend server has said that it did nothing.
-void startDenied(RunnerState &state, Effects &effects, RunId id, StartOutcome outcome,
-                 Common::Moment now)
+void handleStartRejected(RunnerState &state, Effects &effects, RunId id, StartOutcome outcome,
+                         Common::Moment now)
 {
     Run &run = state.runs.at(id);
-    effects.emplace_back(
-            runNote("start_denied", run, now,
-                    {{"why", std::string(Common::nameOf(Transient::StartOutcomeNames, outcome))}}));
-    const bool triesLeft = run.startTries < MostStartTries;
+    effects.emplace_back(runLogLine(
+            "start_denied", run, now,
+            {{"why", std::string(Common::nameOf(Transient::StartOutcomeNames, outcome))}}));
+    const bool triesLeft = run.startTries < MaxStartTries;
     switch (outcome) {
     case StartOutcome::NumberUsed:
         skipNumbers(state, run, now);
         break;
     case StartOutcome::Fenced:
-        passFence(state, run.startFence);
+        raiseRejectedFence(state, run.startFence);
         break;
     case StartOutcome::NoRoom:
         if (triesLeft) {
-            requeue(state, id, now.steadyMs + RoomPauseMs);
+            requeue(state, id, now.steadyMs + NoRoomRetryMs);
             return;
         }
         break;
@@ -148,34 +149,34 @@
 
 } // namespace
 
-bool hasUnstopped(const RunnerState &state, Common::Moment now)
+bool hasOverdueStop(const RunnerState &state, Common::Moment now)
 {
     const bool hasStray =
             std::any_of(state.strays.begin(), state.strays.end(), [&](const auto &entry) {
-                return now.steadyMs > entry.second.firstSeenMs + state.times.unstoppedMs;
+                return now.steadyMs > entry.second.firstSeenMs + state.times.stopOverdueMs;
             });
     return hasStray || std::any_of(state.runs.begin(), state.runs.end(), [&](const auto &entry) {
                const Run &run = entry.second;
-               return run.phase == RunPhase::Stopping && run.stopTakenMs == 0
-                      && now.steadyMs > run.stopAskedMs + state.times.unstoppedMs;
+               return run.phase == RunPhase::Stopping && run.stopAcceptedMs == 0
+                      && now.steadyMs > run.stopRequestedMs + state.times.stopOverdueMs;
            });
 }
 
-void fenceOff(RunnerState &state, std::int64_t usedFence)
+void raiseUnansweredFence(RunnerState &state, std::int64_t usedFence)
 {
     if (usedFence == state.fence) {
         ++state.fence;
     }
 }
 
-void passFence(RunnerState &state, std::int64_t usedFence)
+void raiseRejectedFence(RunnerState &state, std::int64_t usedFence)
 {
     if (usedFence == state.fence) {
-        state.fence += FenceStep;
+        state.fence += FenceStepMs;
     }
 }
 
-void clockSeen(RunnerState &state, std::int64_t clockMs, Common::Moment now)
+void updateClockOffset(RunnerState &state, std::int64_t clockMs, Common::Moment now)
 {
     state.clockOffsetMs = clockMs - now.steadyMs;
 }
@@ -191,8 +192,8 @@
     const Run run = state.runs.at(id);
     if (run.isStartPending) {
         // Its answer will find nothing here to judge by.
-        state.grantedMs = std::max(state.grantedMs, run.startSentMs);
-        fenceOff(state, run.startFence);
+        state.leaseGrantSentMs = std::max(state.leaseGrantSentMs, run.startSentMs);
+        raiseUnansweredFence(state, run.startFence);
     }
     Schema::AttemptState ended;
     ended.task = run.task;
@@ -200,12 +201,12 @@
     ended.phase = phase;
     ended.reason = reason;
     ended.runMs = run.startedMs == 0 ? 0 : now.steadyMs - run.startedMs;
-    effects.emplace_back(runNote("run_ended", run, now,
-                                 {{"phase", Schema::enumName(phase)},
-                                  {"reason", Schema::enumName(reason)},
-                                  {"run_ms", std::to_string(ended.runMs)}}));
+    effects.emplace_back(runLogLine("run_ended", run, now,
+                                    {{"phase", Schema::enumName(phase)},
+                                     {"reason", Schema::enumName(reason)},
+                                     {"run_ms", std::to_string(ended.runMs)}}));
     effects.emplace_back(ReportAttempt{run.gateway, ended});
-    state.recent[run.gateway].push_back({ended, now.steadyMs});
+    state.recentEnds[run.gateway].push_back({ended, now.steadyMs});
     dequeue(state, id);
     state.runs.erase(id);
 }
@@ -213,8 +214,8 @@
 Effects startRuns(RunnerState &state, Common::Moment now)
 {
     Effects effects;
-    if (!state.isClean || state.isStopping || !state.isAlive || !state.clockOffsetMs
-        || hasUnstopped(state, now)) {
+    if (!state.isClean || state.isStopping || !state.isBackendResponsive || !state.clockOffsetMs
+        || hasOverdueStop(state, now)) {
         return effects;
     }
     for (const RunId id : startable(state, now)) {
@@ -240,19 +241,19 @@
         return effects;
     }
     if (answer.clockMs) {
-        clockSeen(state, *answer.clockMs, now);
+        updateClockOffset(state, *answer.clockMs, now);
     }
     Run &run = found->second;
     run.isStartPending = false;
     run.isStartKnown = answer.outcome != StartOutcome::Unanswered;
     if (run.isStartKnown) {
-        startAnswerSeen(state.startLimit, now.steadyMs - run.startSentMs);
+        recordStartAnswer(state.startTimeout, now.steadyMs - run.startSentMs);
     } else {
-        startUnanswered(state.startLimit);
-        fenceOff(state, run.startFence);
+        recordStartUnanswered(state.startTimeout);
+        raiseUnansweredFence(state, run.startFence);
     }
-    if (mayHaveGranted(answer.outcome)) {
-        state.grantedMs = std::max(state.grantedMs, run.startSentMs);
+    if (mayHaveRenewedLease(answer.outcome)) {
+        state.leaseGrantSentMs = std::max(state.leaseGrantSentMs, run.startSentMs);
     }
     effects.emplace_back(Transient::CountReason{
             StartCounter + std::string("_")
@@ -263,13 +264,13 @@
     }
     switch (answer.outcome) {
     case StartOutcome::Started:
-        startedNow(state, effects, id, now);
+        handleStarted(state, effects, id, now);
         break;
     case StartOutcome::Unanswered:
         stopRun(state, effects, id, Reason::StartUnanswered, now);
         break;
     default:
-        startDenied(state, effects, id, answer.outcome, now);
+        handleStartRejected(state, effects, id, answer.outcome, now);
     }
     return effects;
 }
@@ -284,33 +285,34 @@
     if (run.phase == RunPhase::Stopping) {
         return;
     }
-    effects.emplace_back(runNote("run_stopping", run, now,
-                                 {{"reason", Schema::enumName(reason)},
-                                  {"phase", std::string(Common::nameOf(RunPhaseNames, run.phase))},
-                                  {"percent", std::to_string(run.percent)}}));
+    effects.emplace_back(
+            runLogLine("run_stopping", run, now,
+                       {{"reason", Schema::enumName(reason)},
+                        {"phase", std::string(Common::nameOf(RunPhaseNames, run.phase))},
+                        {"percent", std::to_string(run.percent)}}));
     run.phase = RunPhase::Stopping;
     run.stopReason = reason;
-    run.stopAskedMs = now.steadyMs;
+    run.stopRequestedMs = now.steadyMs;
     run.stopTries = 0;
     run.nextStopMs = now.steadyMs;
 }
 
-void stopAnswered(RunnerState &state, const std::string &task, std::int64_t number, bool taken,
+void stopAnswered(RunnerState &state, const std::string &task, std::int64_t number, bool accepted,
                   Common::Moment now)
 {
     for (auto &[id, run] : state.runs) {
         if (run.task != task || run.number != number || run.phase != RunPhase::Stopping) {
             continue;
         }
-        if (taken && run.stopTakenMs == 0) {
-            run.stopTakenMs = now.steadyMs;
+        if (accepted && run.stopAcceptedMs == 0) {
+            run.stopAcceptedMs = now.steadyMs;
             // The next observation proves whether anything of it is left.
-            state.nextWatchMs = now.steadyMs;
+            state.nextObserveMs = now.steadyMs;
         }
     }
 }
 
-Effects driveStops(RunnerState &state, Common::Moment now)
+Effects sendDueStops(RunnerState &state, Common::Moment now)
 {
     Effects effects;
     std::vector<RunId> overdue;
@@ -323,7 +325,7 @@
         stopRun(state, effects, id, Reason::DeadlinePassed, now);
     }
     for (auto &[id, run] : state.runs) {
-        const bool isDue = run.phase == RunPhase::Stopping && run.stopTakenMs == 0
+        const bool isDue = run.phase == RunPhase::Stopping && run.stopAcceptedMs == 0
                            && now.steadyMs >= run.nextStopMs;
         if (isDue) {
             const bool isQuick = ++run.stopTries < state.times.quickStops;
@@ -335,7 +337,7 @@
     return effects;
 }
 
-void loseStarted(RunnerState &state, Effects &effects, Reason reason, Common::Moment now)
+void endLostRuns(RunnerState &state, Effects &effects, Reason reason, Common::Moment now)
 {
     std::vector<RunId> over;
     std::vector<RunId> unknown;
@@ -343,7 +345,7 @@
         if (run.phase == RunPhase::Queued) {
             continue;
         }
-        const bool mayStillStart = !run.isStartKnown && run.stopTakenMs == 0
+        const bool mayStillStart = !run.isStartKnown && run.stopAcceptedMs == 0
                                    && now.steadyMs <= run.startSentMs + state.times.lateStartMs;
         (mayStillStart ? unknown : over).push_back(id);
     }
--- a/Source/Core/Runner/StartLimit.h
+++ b/Source/Core/Runner/StartTimeout.h
@@ -9,7 +9,7 @@
 /// all the time that a short task has. The limit follows the answers that come.
 namespace Runner {
 
-struct StartLimit
+struct StartTimeout
 {
     double meanMs = 0;
     double deviationMs = 0;
@@ -19,9 +19,9 @@
     std::int64_t backoff = 1;
 };
 
-void startAnswerSeen(StartLimit &limit, std::int64_t answerMs);
-void startUnanswered(StartLimit &limit);
+void recordStartAnswer(StartTimeout &timeout, std::int64_t answerMs);
+void recordStartUnanswered(StartTimeout &timeout);
 
-std::int64_t startLimitMs(const StartLimit &limit);
+std::int64_t startTimeoutMs(const StartTimeout &timeout);
 
 } // namespace Runner
--- a/Source/UnitTests/Transient/DecisionTest.cpp
+++ b/Source/UnitTests/Transient/DecisionTest.cpp
@@ -206,7 +206,7 @@
     };
     for (const Row &row : {Row{0, 25}, Row{1, 25}, Row{4, 25}, Row{12, 75}, Row{18, 112}}) {
         CAPTURE(row.gateways);
-        CHECK(Runner::loadPauseMs(row.gateways) == row.pauseMs);
+        CHECK(Runner::loadReportIntervalMs(row.gateways) == row.pauseMs);
     }
 }
 
--- a/Source/UnitTests/Transient/PaceTest.cpp
+++ b/Source/UnitTests/Transient/PaceTest.cpp
@@ -7,7 +7,7 @@
 #include "Runner/Pace.h"
 #include "Runner/Runner.h"
 #include "Runner/RunQueue.h"
-#include "Runner/StartLimit.h"
+#include "Runner/StartTimeout.h"
 
 using namespace Runner;
 
@@ -139,7 +139,7 @@
         for (int run = 0; run < row.runs; ++run) {
             add(state, running(200, row.percent));
         }
-        paceSeen(state, at(1100));
+        updateSlowdown(state, at(1100));
         CHECK((slowdownOf(state, at(1100)) > 1) == row.isSlow);
         // It is tried again once nothing tells of it any more.
         CHECK(slowdownOf(state, at(12'000)) == 1);
@@ -176,7 +176,7 @@
             add(state, still);
         }
         addWaiting(state, Other, 200);
-        paceSeen(state, at(1100));
+        updateSlowdown(state, at(1100));
         const Effects effects = moveFromSlow(state, at(1100));
         CHECK(countPhase(state, RunPhase::Stopping) == (row.isStopped ? Still : 0));
         // What waits there has done nothing yet and is given back.
@@ -193,22 +193,22 @@
 
 TEST_CASE("A start is given up by what its answers usually take")
 {
-    StartLimit limit;
-    CHECK(startLimitMs(limit) == 150);
+    StartTimeout limit;
+    CHECK(startTimeoutMs(limit) == 150);
     for (int answer = 0; answer < 50; ++answer) {
-        startAnswerSeen(limit, 3);
+        recordStartAnswer(limit, 3);
     }
-    CHECK(startLimitMs(limit) == 30);
+    CHECK(startTimeoutMs(limit) == 30);
     // The agent's instance has turned slow: it must not go on giving up all that it starts.
     for (int start = 0; start < 6; ++start) {
-        startUnanswered(limit);
+        recordStartUnanswered(limit);
     }
-    CHECK(startLimitMs(limit) == 150);
+    CHECK(startTimeoutMs(limit) == 150);
     for (int answer = 0; answer < 50; ++answer) {
-        startAnswerSeen(limit, answer % 2 == 0 ? 10 : 30);
+        recordStartAnswer(limit, answer % 2 == 0 ? 10 : 30);
     }
-    CHECK(startLimitMs(limit) > 60);
-    CHECK(startLimitMs(limit) < 120);
+    CHECK(startTimeoutMs(limit) > 60);
+    CHECK(startTimeoutMs(limit) < 120);
 }
 
 TEST_CASE("Settings switch decisions of an agent off")
@@ -217,7 +217,7 @@
     switchOff(state, {Schema::AgentDecision::Moves, Schema::AgentDecision::StartLimits,
                       Schema::AgentDecision::UrgencyOrder});
     CHECK_FALSE(state.decisions.movesFromSlow);
-    CHECK_FALSE(state.decisions.learnsStartLimit);
+    CHECK_FALSE(state.decisions.learnsStartTimeout);
     CHECK_FALSE(state.decisions.ordersByUrgency);
     addWaiting(state, Other, 100);
     addWaiting(state, Urgent, 100);
--- a/Source/UnitTests/Transient/RunnerTest.cpp
+++ b/Source/UnitTests/Transient/RunnerTest.cpp
@@ -2,9 +2,9 @@
 #include <optional>
 #include <ostream>
 
+#include "Runner/Observation.h"
 #include "Runner/Runner.h"
 #include "Runner/Runs.h"
-#include "Runner/Watch.h"
 
 using namespace Runner;
 using Transient::ObserveOutcome;
@@ -52,10 +52,10 @@
         grantReceived(this->state, Gateway, 1);
         const auto first = lastOf<CallObserve>(tick(this->state, at(1)));
         REQUIRE(first.has_value());
-        this->seen(first->watch, 2);
+        this->seen(first->observation, 2);
     }
 
-    Effects seen(std::uint64_t watch, std::int64_t nowMs, std::int64_t startedAtMs = 1)
+    Effects seen(std::uint64_t observation, std::int64_t nowMs, std::int64_t startedAtMs = 1)
     {
         Transient::ObserveAnswer answer;
         answer.outcome = ObserveOutcome::Seen;
@@ -66,17 +66,17 @@
                 answer.seen.active.push_back({run.task, run.number, 10});
             }
         }
-        return observed(this->state, watch, answer, at(nowMs));
+        return observeAnswered(this->state, observation, answer, at(nowMs));
     }
 
     /// An observation comes back that shows nothing at all.
-    void seenEmpty(std::uint64_t watch, std::int64_t nowMs)
+    void seenEmpty(std::uint64_t observation, std::int64_t nowMs)
     {
         Transient::ObserveAnswer answer;
         answer.outcome = ObserveOutcome::Seen;
         answer.seen.clockMs = nowMs;
         answer.seen.startedAtMs = 1;
-        observed(this->state, watch, answer, at(nowMs));
+        observeAnswered(this->state, observation, answer, at(nowMs));
     }
 
     /// The start that the order leads to.
@@ -86,7 +86,7 @@
         const auto start = lastOf<CallStart>(effects);
         REQUIRE(start.has_value());
         if (const auto look = lastOf<CallObserve>(effects)) {
-            this->asked = look->watch;
+            this->asked = look->observation;
         }
         return *start;
     }
@@ -111,7 +111,7 @@
     {
         Transient::ObserveAnswer failed;
         failed.outcome = outcome;
-        observed(this->state, this->asked, failed, at(nowMs));
+        observeAnswered(this->state, this->asked, failed, at(nowMs));
     }
 
     void answer(const CallStart &start, std::int64_t nowMs)
@@ -130,11 +130,11 @@
 /// Those under way fail, too.
 void failPending(Fixture &site, ObserveOutcome outcome, std::int64_t nowMs)
 {
-    const std::map<std::uint64_t, Watch> pending = site.state.watches;
-    for (const auto &[id, watch] : pending) {
+    const std::map<std::uint64_t, PendingObservation> pending = site.state.pendingObservations;
+    for (const auto &[id, observation] : pending) {
         Transient::ObserveAnswer failed;
         failed.outcome = outcome;
-        observed(site.state, id, failed, at(nowMs));
+        observeAnswered(site.state, id, failed, at(nowMs));
     }
 }
 
@@ -150,7 +150,7 @@
             leaseUntilMs = std::max(leaseUntilMs, call->leaseUntilMs);
             Transient::ObserveAnswer failed;
             failed.outcome = outcome;
-            observed(site.state, call->watch, failed, at(nowMs + 1));
+            observeAnswered(site.state, call->observation, failed, at(nowMs + 1));
         }
     }
     return leaseUntilMs;
@@ -198,7 +198,7 @@
             observeInVain(site, ObserveOutcome::Unanswered, 20, 20 + 3 * LeaseMs);
     CHECK_FALSE(site.isKnown(start.run));
     CHECK(leaseUntilMs <= 12 + 2 * (LeaseMs + LeaseMs / 25));
-    CHECK_FALSE(site.state.isAlive);
+    CHECK_FALSE(site.state.isBackendResponsive);
 }
 
 TEST_CASE("A lost answer after a quiet time gives nothing up")
@@ -223,7 +223,7 @@
         CHECK(site.isKnown(start.run));
         observeInVain(site, ObserveOutcome::Unanswered, QuietMs + 4, QuietMs + 100);
         CHECK(site.isKnown(start.run));
-        CHECK(site.state.isAlive);
+        CHECK(site.state.isBackendResponsive);
     }
 }
 
@@ -243,7 +243,7 @@
     site.lookFails(ObserveOutcome::Refused, QuietMs + 2);
     observeInVain(site, ObserveOutcome::Refused, QuietMs + 10, QuietMs + 100);
     CHECK(site.isKnown(start.run));
-    CHECK(site.state.isAlive);
+    CHECK(site.state.isBackendResponsive);
 }
 
 TEST_CASE("A lease that an unanswered call has renewed is waited out")
@@ -259,7 +259,7 @@
     REQUIRE(renewal.has_value());
     REQUIRE(renewal->leaseUntilMs == RenewedMs + LeaseMs);
     Transient::ObserveAnswer lost;
-    observed(site.state, renewal->watch, lost, at(RenewedMs + 10));
+    observeAnswered(site.state, renewal->observation, lost, at(RenewedMs + 10));
     observeInVain(site, ObserveOutcome::NotConnected, RenewedMs + 20, RenewedMs + LeaseMs);
     CHECK(site.isKnown(start.run));
     observeInVain(site, ObserveOutcome::NotConnected, RenewedMs + LeaseMs,
@@ -277,7 +277,7 @@
     startAnswered(site.state, start.run, start.start.number, {StartOutcome::Unanswered, {}},
                   at(160));
     observeInVain(site, ObserveOutcome::Unanswered, 170, 12'000);
-    CHECK_FALSE(site.state.isAlive);
+    CHECK_FALSE(site.state.isBackendResponsive);
     CHECK(site.isKnown(start.run));
     observeInVain(site, ObserveOutcome::Unanswered, 12'000, 15'000);
     CHECK_FALSE(site.isKnown(start.run));
@@ -309,7 +309,7 @@
         backendAnnounced(site.state, next, at(1000));
         const auto look = lastOf<CallObserve>(tick(site.state, at(1100)));
         REQUIRE(look.has_value());
-        site.seen(look->watch, 1101, next.startedAtMs);
+        site.seen(look->observation, 1101, next.startedAtMs);
         const CallStart start = site.order("a.0.0", 1200);
         site.answer(start, 1202);
         former.sequence = 8;
@@ -335,10 +335,10 @@
     const auto look = lastOf<CallObserve>(tick(site.state, at(1100)));
     REQUIRE(look.has_value());
     stopAnswered(site.state, "a.0.0", former.start.number, true, at(1100));
-    site.seen(look->watch, 1101, next.startedAtMs);
+    site.seen(look->observation, 1101, next.startedAtMs);
     const CallStart start = site.order("b.0.0", 1200);
     site.answer(start, 1202);
-    site.seen(asked->watch, 1210, 1);
+    site.seen(asked->observation, 1210, 1);
     startAnswered(site.state, former.run, former.start.number, {StartOutcome::Started, 77'000},
                   at(1211));
     CHECK(site.isKnown(start.run));
@@ -360,14 +360,14 @@
     stopAnswered(site.state, "a.0.0", start.start.number, true, at(162));
     const auto look = lastOf<CallObserve>(tick(site.state, at(420)));
     REQUIRE(look.has_value());
-    site.seen(look->watch, 422, 300);
+    site.seen(look->observation, 422, 300);
     CHECK(site.isKnown(start.run));
     CHECK(site.state.fence > fence);
     REQUIRE(lastOf<CallStop>(tick(site.state, at(423))).has_value());
     stopAnswered(site.state, "a.0.0", start.start.number, true, at(424));
     const auto proof = lastOf<CallObserve>(tick(site.state, at(450)));
     REQUIRE(proof.has_value());
-    site.seen(proof->watch, 452, 300);
+    site.seen(proof->observation, 452, 300);
     CHECK_FALSE(site.isKnown(start.run));
 }
 
@@ -381,7 +381,7 @@
     site.answer(start, 12);
     const auto look = lastOf<CallObserve>(tick(site.state, at(40)));
     REQUIRE(look.has_value());
-    site.seen(look->watch, 42, 30);
+    site.seen(look->observation, 42, 30);
     Transient::BackendAnnouncement leaving = *site.state.backend;
     leaving.sequence = 2;
     leaving.leaving = true;
@@ -414,13 +414,13 @@
     std::vector<std::uint64_t> asked;
     for (std::int64_t nowMs = 11; asked.size() < 2 && nowMs < 1000; ++nowMs) {
         if (const auto call = lastOf<CallObserve>(tick(site.state, at(nowMs)))) {
-            asked.push_back(call->watch);
+            asked.push_back(call->observation);
         }
     }
     REQUIRE(asked.size() == 2);
     site.answer(start, 1000);
-    for (const std::uint64_t watch : asked) {
-        observed(site.state, watch, empty, at(1001));
+    for (const std::uint64_t observation : asked) {
+        observeAnswered(site.state, observation, empty, at(1001));
     }
     CHECK(site.isKnown(start.run));
 }
@@ -468,7 +468,7 @@
             answer.seen.clockMs = nowMs + 1;
             answer.seen.startedAtMs = 1;
             answer.seen.active.push_back({"a.0.0", start.start.number, 10});
-            observed(site.state, call->watch, answer, at(nowMs + 1));
+            observeAnswered(site.state, call->observation, answer, at(nowMs + 1));
         }
     }
     CHECK(leaseUntilMs < ResubmittedMs);
@@ -488,7 +488,7 @@
     site.answer(start, 12);
     const auto call = lastOf<CallObserve>(tick(site.state, at(40)));
     REQUIRE(call.has_value());
-    observed(site.state, call->watch, {}, at(400));
+    observeAnswered(site.state, call->observation, {}, at(400));
     CHECK(site.state.fence > fence);
     const std::int64_t raised = site.state.fence;
     const CallStart next = site.order("b.0.0", 410);
@@ -500,22 +500,22 @@
 namespace {
 
 /// An answer of the life \a startedAtMs that shows \a active.
-Effects shows(Fixture &site, std::uint64_t watch, std::int64_t nowMs, std::int64_t startedAtMs,
-              const std::vector<Transient::ActiveRun> &active)
+Effects shows(Fixture &site, std::uint64_t observation, std::int64_t nowMs,
+              std::int64_t startedAtMs, const std::vector<Transient::ActiveRun> &active)
 {
     Transient::ObserveAnswer answer;
     answer.outcome = ObserveOutcome::Seen;
     answer.seen.clockMs = nowMs;
     answer.seen.startedAtMs = startedAtMs;
     answer.seen.active = active;
-    return observed(site.state, watch, answer, at(nowMs));
+    return observeAnswered(site.state, observation, answer, at(nowMs));
 }
 
 std::uint64_t nextLook(Fixture &site, std::int64_t fromMs)
 {
     for (std::int64_t nowMs = fromMs; nowMs < fromMs + 1000; ++nowMs) {
         if (const auto call = lastOf<CallObserve>(tick(site.state, at(nowMs)))) {
-            return call->watch;
+            return call->observation;
         }
     }
     FAIL("no observation");
@@ -604,7 +604,7 @@
     site.order("a.0.0", 110);
     site.lookFails(ObserveOutcome::OtherLife, 112);
     observeInVain(site, ObserveOutcome::OtherLife, 120, 2000);
-    REQUIRE_FALSE(site.state.isAlive);
+    REQUIRE_FALSE(site.state.isBackendResponsive);
     next.sequence = 2;
     backendAnnounced(site.state, next, at(2000));
     CHECK(site.state.backend->id == "backend-2");
@@ -641,7 +641,7 @@
             site.answer(*made, nowMs + 2);
         }
         if (const auto call = lastOf<CallObserve>(effects)) {
-            site.seen(call->watch, nowMs + 3);
+            site.seen(call->observation, nowMs + 3);
         }
     }
     CHECK(lastLeaseMs < ResubmittedMs);
@@ -660,7 +660,7 @@
     const auto look = lastOf<CallObserve>(tick(site.state, at(99)));
     REQUIRE(look.has_value());
     stopAnswered(site.state, "a.0.0", start.start.number, true, at(99));
-    shows(site, look->watch, 102, 1, {});
+    shows(site, look->observation, 102, 1, {});
     CHECK(site.isKnown(start.run));
 }
 
@@ -681,7 +681,7 @@
     shows(site, nextLook(site, 16), 121, 1, {});
     CHECK_FALSE(site.isKnown(start.run));
     CHECK(site.state.fence > fence);
-    CHECK(site.state.grantedMs >= 10);
+    CHECK(site.state.leaseGrantSentMs >= 10);
 }
 
 TEST_CASE("A task waits while another run of it is left at the agent")
@@ -699,12 +699,12 @@
     CHECK_FALSE(lastOf<CallStart>(tick(site.state, at(31))).has_value());
     stopAnswered(site.state, stop->task, stop->number, true, at(32));
     // What was asked before the stop was taken proves nothing: the answer may be older.
-    REQUIRE(site.state.watches.size() == 1);
-    site.seen(site.state.watches.begin()->first, 34);
+    REQUIRE(site.state.pendingObservations.size() == 1);
+    site.seen(site.state.pendingObservations.begin()->first, 34);
     CHECK(site.isKnown(first.run));
     const auto proof = lastOf<CallObserve>(tick(site.state, at(60)));
     REQUIRE(proof.has_value());
-    site.seen(proof->watch, 62);
+    site.seen(proof->observation, 62);
     CHECK_FALSE(site.isKnown(first.run));
     CHECK(lastOf<CallStart>(tick(site.state, at(63))).has_value());
 }
@@ -727,7 +727,8 @@
     found.outcome = ObserveOutcome::Seen;
     found.seen.startedAtMs = 1;
     found.seen.active.push_back({"a.0.0", 1, 10});
-    CHECK(lastOf<CallStop>(observed(site.state, look->watch, found, at(32))).has_value());
+    CHECK(lastOf<CallStop>(observeAnswered(site.state, look->observation, found, at(32)))
+                  .has_value());
     CHECK_FALSE(site.state.isClean);
 }
 
@@ -735,7 +736,7 @@
 {
     // A stopped run is listed as ended only after the task has come back and started here anew.
     Fixture site;
-    site.state.numbers["a.0.0"] = {1, 5};
+    site.state.usedNumbers["a.0.0"] = {1, 5};
     const CallStart start = site.order("a.0.0", 10);
     REQUIRE(start.start.number == 2);
     site.answer(start, 12);
@@ -746,7 +747,7 @@
     listed.seen.startedAtMs = 1;
     listed.seen.active.push_back({"a.0.0", 2, 10});
     listed.seen.ended.push_back({1, "a.0.0", 1, Transient::RunEnd::Stopped});
-    observed(site.state, look->watch, listed, at(32));
+    observeAnswered(site.state, look->observation, listed, at(32));
     CHECK(site.isKnown(start.run));
 }
 
@@ -758,7 +759,7 @@
     site.order("a.0.0", 10);
     const std::int64_t before = site.state.fence;
     observeInVain(site, ObserveOutcome::Fenced, 30, 40);
-    CHECK(site.state.fence >= before + FenceStep);
+    CHECK(site.state.fence >= before + FenceStepMs);
 }
 
 TEST_CASE("An observation that overtook a start does not give the run up")
@@ -770,7 +771,7 @@
     const auto look = lastOf<CallObserve>(tick(site.state, at(40)));
     REQUIRE(look.has_value());
     site.answer(start, 45);
-    site.seenEmpty(look->watch, 46);
+    site.seenEmpty(look->observation, 46);
     CHECK(site.isKnown(start.run));
 }
 
@@ -786,8 +787,8 @@
     REQUIRE(second.has_value());
     const CallStart start = site.order("b.0.0", 290);
     site.answer(start, 292);
-    site.seenEmpty(first->watch, 294);
-    site.seenEmpty(second->watch, 295);
+    site.seenEmpty(first->observation, 294);
+    site.seenEmpty(second->observation, 295);
     CHECK(site.isKnown(start.run));
 }
 
@@ -830,13 +831,13 @@
     startAnswered(site.state, first.run, first.start.number, unanswered, at(160));
     REQUIRE(lastOf<CallStop>(tick(site.state, at(160))).has_value());
     // It is not there yet, and nothing bars it: its start may be carried out any time.
-    REQUIRE(site.state.watches.size() == 1);
-    site.seen(site.state.watches.begin()->first, 161);
+    REQUIRE(site.state.pendingObservations.size() == 1);
+    site.seen(site.state.pendingObservations.begin()->first, 161);
     CHECK(site.isKnown(first.run));
     stopAnswered(site.state, "a.0.0", first.start.number, true, at(162));
     const auto proof = lastOf<CallObserve>(tick(site.state, at(190)));
     REQUIRE(proof.has_value());
-    site.seen(proof->watch, 192);
+    site.seen(proof->observation, 192);
     REQUIRE_FALSE(site.isKnown(first.run));
     CHECK(site.order("a.0.0", 1500).start.number > first.start.number);
 }
@@ -860,10 +861,10 @@
     clean.seen.startedAtMs = NextLifeMs;
     const auto look = lastOf<CallObserve>(tick(site.state, at(NextLifeMs + 50)));
     REQUIRE(look.has_value());
-    observed(site.state, look->watch, clean, at(NextLifeMs + 52));
+    observeAnswered(site.state, look->observation, clean, at(NextLifeMs + 52));
     const CallStart start = site.order("b.0.0", NextLifeMs + 60);
     site.answer(start, NextLifeMs + 62);
-    site.seen(former->watch, NextLifeMs + 70);
+    site.seen(former->observation, NextLifeMs + 70);
     CHECK(site.isKnown(start.run));
 }
 
@@ -910,7 +911,7 @@
         for (std::int64_t nowMs = 10; nowMs < 3000; nowMs += 10) {
             if (const auto call = lastOf<CallObserve>(tick(site.state, at(nowMs)))) {
                 leaseUntilMs = std::max(leaseUntilMs, call->leaseUntilMs);
-                shows(site, call->watch, nowMs + 1, 1, active);
+                shows(site, call->observation, nowMs + 1, 1, active);
             }
         }
         // The first look is 26 ms after the start; 150 ms are for a stop to be taken.
@@ -944,10 +945,10 @@
     ended.seen.startedAtMs = 1;
     ended.seen.active = {{"a.0.0", 1, 10}};
     ended.seen.ended = {{1, "z.0.0", own.start.number, Transient::RunEnd::Succeeded}};
-    observed(site.state, nextLook(site, 14), ended, at(40));
+    observeAnswered(site.state, nextLook(site, 14), ended, at(40));
     REQUIRE_FALSE(site.isKnown(own.run));
     ended.seen.ended.clear();
-    observed(site.state, nextLook(site, 41), ended, at(100));
+    observeAnswered(site.state, nextLook(site, 41), ended, at(100));
     shows(site, nextLook(site, 101), 200, 1, {});
     CHECK(site.state.strays.empty());
     CHECK(lastOf<CallStart>(site.orderFrom(Gateway, "b.0.0", 1000)).has_value());
--- a/Source/UnitTests/Transient/TransientWorld.cpp
+++ b/Source/UnitTests/Transient/TransientWorld.cpp
@@ -4,7 +4,7 @@
 #include <ostream>
 #include <random>
 
-#include "Runner/Watch.h"
+#include "Runner/Observation.h"
 
 namespace TransientSite {
 
@@ -308,11 +308,12 @@
             [tell](CallFailure) { tell(false); });
 }
 
-void answerObserve(World &world, int agent, std::uint64_t watch,
+void answerObserve(World &world, int agent, std::uint64_t observation,
                    const Transient::ObserveAnswer &answer)
 {
     carryOut(world, agent,
-             Runner::observed(agentAt(world, agent).state, watch, answer, moment(world)));
+             Runner::observeAnswered(agentAt(world, agent).state, observation, answer,
+                                     moment(world)));
 }
 
 /// Answers as soon as there is an end, or when the wait is over.
@@ -336,7 +337,7 @@
     const Transient::ObserveAnswer answer =
             applyObserve(backend, fence, effect.lastEnd, 0, world.nowMs);
     answerCall(world, call, [&world, agent, effect, answer] {
-        answerObserve(world, agent, effect.watch, answer);
+        answerObserve(world, agent, effect.observation, answer);
     });
 }
 
@@ -359,13 +360,13 @@
                     return;
                 }
                 answerCall(world, call, [&world, agent, effect, first] {
-                    answerObserve(world, agent, effect.watch, first);
+                    answerObserve(world, agent, effect.observation, first);
                 });
             },
             [&world, agent, effect](CallFailure failure) {
                 Transient::ObserveAnswer answer;
                 answer.outcome = observeOutcomeOf(failure);
-                answerObserve(world, agent, effect.watch, answer);
+                answerObserve(world, agent, effect.observation, answer);
             });
 }
 
@@ -465,9 +466,9 @@
         link.gatewayInstance = instance;
         process.unlinked.erase(instance);
         announce(world, gateway, agent);
-        const auto recent = process.state.recent.find(instance);
-        if (recent != process.state.recent.end()) {
-            for (const Runner::RecentEnd &end : recent->second) {
+        const auto recentEnds = process.state.recentEnds.find(instance);
+        if (recentEnds != process.state.recentEnds.end()) {
+            for (const Runner::RecentEnd &end : recentEnds->second) {
                 link.unsent.push_back(end.state);
             }
         }
@@ -705,7 +706,8 @@
     const bool isDue =
             Runner::isUrgent(link.unsent) || link.toldOrphans < process.state.urgentOrphansChange
             || world.nowMs >= link.agentSentMs + HeartbeatMs
-            || (world.nowMs >= link.agentSentMs + Runner::loadPauseMs(world.gateways.size())
+            || (world.nowMs
+                        >= link.agentSentMs + Runner::loadReportIntervalMs(world.gateways.size())
                 && !process.state.runs.empty());
     if (isDue) {
         Frame frame;
