--- a/Source/Core/Runner/RunnerDaemon.cpp
+++ b/Source/Core/Runner/RunnerDaemon.cpp
@@ -30,7 +30,7 @@
 constexpr int TimeoutsUntilSuspect = 3;
 /// A link that is lost may be back at once, with its gateway alive: what it ordered goes on for so
 /// long. Far below the time after which callers submit again.
-constexpr std::int64_t RelinkMs = 300;
+constexpr std::int64_t ReconnectGraceMs = 300;
 /// A change of the load by this part of the capacity is told at once, but not more often than the
 /// pause allows.
 constexpr double SignificantLoadShare = 0.1;
@@ -137,7 +137,7 @@
     Moment now;
     std::map<Net::LinkId, GatewayLink> links;
     /// Gateways whose link is gone, and since when.
-    std::map<std::string, std::int64_t> unlinked;
+    std::map<std::string, std::int64_t> disconnectedGateways;
     /// The process that last announced itself at an address.
     std::map<std::string, std::string> instanceAt;
     std::int64_t stopDeadlineMs = 0;
@@ -245,8 +245,8 @@
             next = std::min(next, link.sentMs + this->settings.heartbeatMs);
         }
     }
-    for (const auto &[instance, sinceMs] : this->unlinked) {
-        next = std::min(next, sinceMs + RelinkMs);
+    for (const auto &[instance, sinceMs] : this->disconnectedGateways) {
+        next = std::min(next, sinceMs + ReconnectGraceMs);
     }
     return std::min(next, Transient::nextDialMs(this->discovery));
 }
@@ -268,7 +268,7 @@
     Transient::dialEnded(this->discovery, found->second.address, this->now);
     if (!found->second.instance.empty()) {
         Common::logEvent(LogLevel::Info, "gateway_unlinked", {{"gateway", found->second.instance}});
-        this->unlinked[found->second.instance] = this->now.steadyMs;
+        this->disconnectedGateways[found->second.instance] = this->now.steadyMs;
     }
     this->links.erase(found);
 }
@@ -308,11 +308,11 @@
     Transient::gatewayLinked(this->discovery, link.address, this->now);
     std::string &lastHere = this->instanceAt[link.address];
     if (!lastHere.empty() && lastHere != link.instance) {
-        this->unlinked.erase(lastHere);
+        this->disconnectedGateways.erase(lastHere);
         this->carryOut(gatewayLost(this->state, lastHere, this->now));
     }
     lastHere = link.instance;
-    this->unlinked.erase(link.instance);
+    this->disconnectedGateways.erase(link.instance);
     Common::logEvent(LogLevel::Info, "gateway_linked",
                      {{"gateway", link.instance}, {"address", link.address}});
     this->announceTo(id, link);
@@ -505,13 +505,14 @@
             this->hub->close(id);
         }
     }
-    for (auto entry = this->unlinked.begin(); entry != this->unlinked.end();) {
-        if (this->now.steadyMs < entry->second + RelinkMs) {
+    for (auto entry = this->disconnectedGateways.begin();
+         entry != this->disconnectedGateways.end();) {
+        if (this->now.steadyMs < entry->second + ReconnectGraceMs) {
             ++entry;
             continue;
         }
         this->carryOut(gatewayLost(this->state, entry->first, this->now));
-        entry = this->unlinked.erase(entry);
+        entry = this->disconnectedGateways.erase(entry);
     }
 }
 
