--- a/Source/Core/Dispatch/GatewayCore.cpp
+++ b/Source/Core/Dispatch/GatewayCore.cpp
@@ -63,7 +63,7 @@
     for (const std::string &replaced : agentLinked(state.agents, agent, hello.backend.name)) {
         append(effects, agentGone(state, replaced, now));
     }
-    agentHeard(state.scheduler, hello, now);
+    agentHelloReceived(state.scheduler, hello, now);
     effects.push_back(pongTo(state, agent, hello));
     if (isNewLink) {
         effects.emplace_back(
@@ -79,7 +79,7 @@
     const Schema::Configuration &config = configuration(state.site.config);
     if (config.version != state.schedulerConfigVersion) {
         state.schedulerConfigVersion = config.version;
-        schedulerConfigured(state.scheduler, config, now);
+        configureScheduler(state.scheduler, config, now);
     }
 }
 
@@ -90,7 +90,7 @@
         const bool isSelf = member.instance == state.self.instance;
         live += isSelf || peerLive(state.site.ownership, member.instance, now) ? 1 : 0;
     }
-    gatewaysCounted(state.scheduler, std::max(live, 1));
+    setGatewayCount(state.scheduler, std::max(live, 1));
 }
 
 Effects sweep(GatewayState &state, Common::Moment now)
@@ -235,7 +235,8 @@
     if (frame.type != FrameType::TaskStates) {
         return {};
     }
-    agentWindow(state.scheduler, agent, frame.taskStates->window, frame.taskStates->running, now);
+    agentWindowReceived(state.scheduler, agent, frame.taskStates->window, frame.taskStates->running,
+                        now);
     Effects effects = tasksReported(state, agent, *frame.taskStates, now, random);
     append(effects, questionAnswered(state, agent, *frame.taskStates, now, random));
     return effects;
--- a/Source/Core/Dispatch/Jobs/TaskReports.cpp
+++ b/Source/Core/Dispatch/Jobs/TaskReports.cpp
@@ -35,7 +35,7 @@
     const RetryDecision decision =
             taskNotStarted(state.scheduler, task, agent, reason, now, random);
     Effects effects{CountReason{RetriedCounter, reason}};
-    if (decision == RetryDecision::GivenUp && !job.answer) {
+    if (decision == RetryDecision::AttemptsExhausted && !job.answer) {
         append(effects, finishJob(state, job,
                                   givenUpAnswer(job, reason, "no backend server took the task")));
     }
--- a/Source/Core/Dispatch/Jobs/TaskStarts.cpp
+++ b/Source/Core/Dispatch/Jobs/TaskStarts.cpp
@@ -87,7 +87,7 @@
         }
     }
     if (job.startable) {
-        jobRunnable(state.scheduler, job.id, now);
+        setJobRunnable(state.scheduler, job.id, now);
         return;
     }
     journalIfMissing(state, job, now);
@@ -111,7 +111,7 @@
         }
         job->startable = true;
         job->unlogged = intent == IntentState::Unlogged;
-        jobRunnable(state.scheduler, job->id, now);
+        setJobRunnable(state.scheduler, job->id, now);
         const std::vector<std::string> accepted = std::exchange(job->acceptWaiters, {});
         append(effects, answerAll(state, accepted, pendingAnswer(*job)));
     }
--- a/Source/Core/Dispatch/Scheduling/Admission.cpp
+++ b/Source/Core/Dispatch/Scheduling/Admission.cpp
@@ -12,14 +12,14 @@
 constexpr std::int64_t MinRetryAfterMs = 100;
 constexpr std::int64_t MaxRetryAfterMs = 60000;
 /// Refused together, callers come back over a span as long as half the wait they were given.
-constexpr std::uint64_t SpreadSteps = 1024;
+constexpr std::uint64_t JitterSteps = 1024;
 
 Refusal refusal(Schema::Reason reason, const char *detail, double retryAfterMs,
                 const AdmissionQuery &query)
 {
-    const double part = static_cast<double>(query.spread % SpreadSteps) / SpreadSteps;
-    const auto spreadMs = static_cast<std::int64_t>(retryAfterMs * (1 + part / 2));
-    return {reason, detail, std::clamp(spreadMs, MinRetryAfterMs, MaxRetryAfterMs)};
+    const double part = static_cast<double>(query.jitterSeed % JitterSteps) / JitterSteps;
+    const auto jitteredMs = static_cast<std::int64_t>(retryAfterMs * (1 + part / 2));
+    return {reason, detail, std::clamp(jitteredMs, MinRetryAfterMs, MaxRetryAfterMs)};
 }
 
 double drainMs(double workMs, double capacity)
@@ -42,10 +42,10 @@
 /// send; by what the others leave, everything queued is.
 double capacityWaitMs(const Backlog &backlog, const AdmissionQuery &query)
 {
-    if (backlog.queuedWorkMs <= 0 && query.tasks <= backlog.freePlaces) {
+    if (backlog.queuedWorkMs <= 0 && query.tasks <= backlog.freeSlots) {
         return 0;
     }
-    const double left = std::max(backlog.leftByOthers, backlog.fairShare);
+    const double left = std::max(backlog.unusedByOthers, backlog.fairShare);
     const double own =
             drainMs(backlog.callerWorkMs + query.workMs, backlog.capacity * backlog.fairShare);
     const double all = drainMs(backlog.queuedWorkMs + query.workMs, backlog.capacity * left);
@@ -78,14 +78,15 @@
         return std::nullopt;
     }
     const auto left = static_cast<double>(query.timeLeftMs);
-    const double tooLate = predictedWaitMs(backlog, query) * WaitMargin + query.slowestRunMs - left;
-    if (tooLate <= 0) {
+    const double latenessMs =
+            predictedWaitMs(backlog, query) * WaitMargin + query.slowestRunMs - left;
+    if (latenessMs <= 0) {
         return std::nullopt;
     }
     const bool byQuota = quotaWaitMs(backlog, query) > capacityWaitMs(backlog, query);
     const Schema::Reason reason =
             byQuota ? Schema::Reason::QuotaExceeded : Schema::Reason::DeadlineUnreachable;
-    return refusal(reason, "the backlog is longer than the deadline allows", tooLate, query);
+    return refusal(reason, "the backlog is longer than the deadline allows", latenessMs, query);
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/Admission.h
+++ b/Source/Core/Dispatch/Scheduling/Admission.h
@@ -41,11 +41,11 @@
     /// What the backend servers able to take the job can do in a millisecond.
     double capacity = 0;
     /// Free places for the job, now.
-    std::int64_t freePlaces = 0;
+    std::int64_t freeSlots = 0;
     /// Part of the capacity that the caller gets at least, and part that the others, by what they
     /// sent lately, leave.
     double fairShare = 1;
-    double leftByOthers = 1;
+    double unusedByOthers = 1;
     /// Most tasks of the team in flight from here; 0 is no limit.
     std::int64_t teamQuota = 0;
 };
@@ -58,7 +58,7 @@
     double slowestRunMs = 0;
     std::int64_t timeLeftMs = 0;
     /// Spreads the retries of callers that are refused together.
-    std::uint64_t spread = 0;
+    std::uint64_t jitterSeed = 0;
 };
 
 /// Time until the job's last task has started.
--- a/Source/Core/Dispatch/Scheduling/BackendCare.cpp
+++ b/Source/Core/Dispatch/Scheduling/BackendMonitor.cpp
@@ -1,4 +1,4 @@
-#include "Dispatch/Scheduling/BackendCare.h"
+#include "Dispatch/Scheduling/BackendMonitor.h"
 
 #include <algorithm>
 
@@ -7,9 +7,9 @@
 
 /// Below this part of the expected time, a failure says more of the backend server than of the
 /// task.
-constexpr double FastFailurePart = 0.25;
+constexpr double FastFailureFraction = 0.25;
 /// A task this much over the time that 95 of 100 stay under hangs, more likely than not.
-constexpr double OverdueTimes = 3;
+constexpr double OverdueFactor = 3;
 constexpr double OverdueQuantile = 0.95;
 constexpr std::int64_t StalledPeriodMs = 100;
 constexpr std::int64_t NoSlotPauseMs = 20;
@@ -32,7 +32,7 @@
     return {known, ejected};
 }
 
-std::size_t outOfWork(const BackendPool &pool)
+std::size_t outOfServiceCount(const BackendPool &pool)
 {
     const auto stalled =
             std::count_if(pool.backends.begin(), pool.backends.end(),
@@ -40,16 +40,16 @@
     return countEjected(pool).second + static_cast<std::size_t>(stalled);
 }
 
-bool mayTakeOut(const BackendPool &pool)
+bool mayTakeOutOfService(const BackendPool &pool)
 {
-    return outOfWork(pool) < mostEjected(countEjected(pool).first);
+    return outOfServiceCount(pool) < maxEjected(countEjected(pool).first);
 }
 
 bool isOverdue(const SchedulerState &state, const TaskInFlight &task, std::int64_t nowMs)
 {
     const double factor = speedFactor(state.pool.backends[task.backend].speed);
     const double highMs = runQuantileMs(state.estimates, task.profile, OverdueQuantile) * factor;
-    return static_cast<double>(nowMs - task.sinceMs) > OverdueTimes * highMs;
+    return static_cast<double>(nowMs - task.sinceMs) > OverdueFactor * highMs;
 }
 
 } // namespace
@@ -67,32 +67,34 @@
     for (BackendIndex index = 0; index < state.pool.backends.size(); ++index) {
         BackendRecord &backend = state.pool.backends[index];
         const bool stalled = overdue[index] * 2 > backend.inFlight;
-        if (stalled != backend.stalled && (!stalled || mayTakeOut(state.pool))) {
+        if (stalled != backend.stalled && (!stalled || mayTakeOutOfService(state.pool))) {
             backend.stalled = stalled;
-            refreshBackend(state.pool, index, nowMs);
+            updateFreeLists(state.pool, index, nowMs);
         }
     }
 }
 
-void judgeBackend(SchedulerState &state, const TaskInFlight &task, bool succeeded, double runMs,
-                  Common::Moment now)
+void updateBackendHealth(SchedulerState &state, const TaskInFlight &task, bool succeeded,
+                         double runMs, Common::Moment now)
 {
     ServiceOutcomes &service = state.outcomes[task.service];
-    noteServiceOutcome(service, task.backend, succeeded);
-    if (!succeeded && serviceToBlame(service)) {
+    recordServiceOutcome(service, task.backend, succeeded);
+    if (!succeeded && isServiceFailing(service)) {
         return;
     }
     HealthRecord &health = state.pool.backends[task.backend].health;
-    const bool fast = runMs < task.chargedMs * FastFailurePart;
-    const bool bad = outcomeObserved(health, {succeeded, fast});
-    const bool counted = health.phase == HealthPhase::Trial || (bad && mayTakeOut(state.pool));
-    if (bad && counted && state.switches.ejection) {
+    const bool fast = runMs < task.chargedMs * FastFailureFraction;
+    const bool shouldEject = recordOutcome(health, {succeeded, fast});
+    const bool mayEject =
+            health.phase == HealthPhase::Trial || (shouldEject && mayTakeOutOfService(state.pool));
+    if (shouldEject && mayEject && state.switches.ejection) {
         eject(health, now.steadyMs);
     }
-    refreshBackend(state.pool, task.backend, now.steadyMs);
+    updateFreeLists(state.pool, task.backend, now.steadyMs);
 }
 
-void startRefused(BackendPool &pool, BackendIndex index, Schema::Reason reason, std::int64_t nowMs)
+void handleStartRefused(BackendPool &pool, BackendIndex index, Schema::Reason reason,
+                        std::int64_t nowMs)
 {
     BackendRecord &backend = pool.backends[index];
     switch (reason) {
@@ -102,7 +104,7 @@
         backend.pausedUntilMs = nowMs + NoSlotPauseMs;
         break;
     case Schema::Reason::AgentDraining:
-        backendDrains(pool, index, nowMs);
+        markBackendDraining(pool, index, nowMs);
         break;
     case Schema::Reason::NotAfterPassed:
     case Schema::Reason::Cancelled:
@@ -115,11 +117,12 @@
         if (nowMs < backend.pausedUntilMs) {
             break;
         }
-        backend.refusalsInRow = std::min(backend.refusalsInRow + 1, MaxRefusalDoublings);
-        backend.pausedUntilMs = nowMs + (FirstRefusalPauseMs << backend.refusalsInRow);
+        backend.consecutiveRefusals =
+                std::min(backend.consecutiveRefusals + 1, MaxRefusalDoublings);
+        backend.pausedUntilMs = nowMs + (FirstRefusalPauseMs << backend.consecutiveRefusals);
         break;
     }
-    refreshBackend(pool, index, nowMs);
+    updateFreeLists(pool, index, nowMs);
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/BackendPool.cpp
+++ b/Source/Core/Dispatch/Scheduling/BackendPool.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::int64_t SweepPeriodMs = 25;
-constexpr std::int64_t MaxForgivenessStepMs = 1000;
+constexpr std::int64_t MaxSlownessDecayStepMs = 1000;
 /// More than the services a site has; each costs an entry for every backend server.
 constexpr std::size_t MaxIdleRequirements = 64;
 
@@ -41,14 +41,14 @@
     pool.backends[index].freePosition[id] = NotFree;
 }
 
-void refreshMembership(BackendPool &pool, BackendIndex index, RequirementId id, bool out)
+void updateFreeList(BackendPool &pool, BackendIndex index, RequirementId id, bool unavailable)
 {
     const BackendRecord &backend = pool.backends[index];
     const std::int32_t position = backend.freePosition[id];
-    if (position == NotAble) {
+    if (position == NotEligible) {
         return;
     }
-    const bool free = !out && hasPlace(backend, pool.requirements[id]);
+    const bool free = !unavailable && hasRoomFor(backend, pool.requirements[id]);
     if (free && position == NotFree) {
         insertFree(pool, index, id);
     } else if (!free && position != NotFree) {
@@ -57,41 +57,41 @@
 }
 
 /// Whether the backend server counts as able, after its equipment or its leaving has changed.
-void judgeAbility(BackendPool &pool, BackendIndex index, RequirementId id, std::int64_t nowMs)
+void updateEligibility(BackendPool &pool, BackendIndex index, RequirementId id, std::int64_t nowMs)
 {
     BackendRecord &backend = pool.backends[index];
     Requirement &requirement = pool.requirements[id];
-    const bool was = backend.freePosition[id] != NotAble;
-    const bool is = isAble(backend, requirement);
+    const bool was = backend.freePosition[id] != NotEligible;
+    const bool is = isEligible(backend, requirement);
     if (was == is) {
         return;
     }
     requirement.stepsStale = true;
     if (is) {
         backend.freePosition[id] = NotFree;
-        requirement.ableCount += 1;
+        requirement.eligibleCount += 1;
         return;
     }
     if (backend.freePosition[id] != NotFree) {
         removeFree(pool, index, id);
     }
-    backend.freePosition[id] = NotAble;
-    requirement.ableCount -= 1;
-    if (requirement.ableCount == 0) {
-        requirement.unableSinceMs = nowMs;
+    backend.freePosition[id] = NotEligible;
+    requirement.eligibleCount -= 1;
+    if (requirement.eligibleCount == 0) {
+        requirement.ineligibleSinceMs = nowMs;
     }
 }
 
-void judgeAbilities(BackendPool &pool, BackendIndex index, std::int64_t nowMs)
+void updateEligibilities(BackendPool &pool, BackendIndex index, std::int64_t nowMs)
 {
-    pool.backends[index].freePosition.resize(pool.requirements.size(), NotAble);
+    pool.backends[index].freePosition.resize(pool.requirements.size(), NotEligible);
     for (RequirementId id = 0; id < pool.requirements.size(); ++id) {
-        judgeAbility(pool, index, id, nowMs);
+        updateEligibility(pool, index, id, nowMs);
     }
-    refreshBackend(pool, index, nowMs);
+    updateFreeLists(pool, index, nowMs);
 }
 
-std::uint32_t findDomain(BackendPool &pool, const std::string &name)
+std::uint32_t findOrAddDomain(BackendPool &pool, const std::string &name)
 {
     const auto found =
             std::find_if(pool.domains.begin(), pool.domains.end(),
@@ -110,7 +110,7 @@
 
 /// A newcomer among backend servers at work starts slowly. When most are new, as at this gateway's
 /// own start, there is no cold one among warm ones, and holding all back would only delay callers.
-bool joinsEstablished(const BackendPool &pool)
+bool mostAreEstablished(const BackendPool &pool)
 {
     std::size_t known = 0;
     std::size_t established = 0;
@@ -126,7 +126,7 @@
 BackendIndex addBackend(BackendPool &pool, const std::string &instance)
 {
     auto index = static_cast<BackendIndex>(pool.backends.size());
-    const bool slowly = joinsEstablished(pool);
+    const bool startsSlowly = mostAreEstablished(pool);
     if (pool.unusedBackends.empty()) {
         pool.backends.emplace_back();
     } else {
@@ -136,14 +136,14 @@
     BackendRecord &backend = pool.backends[index];
     backend = BackendRecord();
     backend.instance = instance;
-    if (slowly) {
+    if (startsSlowly) {
         beginSlowStart(backend.health);
     }
     pool.byInstance.emplace(instance, index);
     return index;
 }
 
-void forget(BackendPool &pool, BackendIndex index)
+void removeBackend(BackendPool &pool, BackendIndex index)
 {
     BackendRecord &backend = pool.backends[index];
     pool.byInstance.erase(backend.instance);
@@ -151,7 +151,7 @@
     pool.unusedBackends.push_back(index);
 }
 
-void forgetOldestIdle(BackendPool &pool)
+void removeOldestIdle(BackendPool &pool)
 {
     const RequirementId id = pool.idleRequirements.front();
     pool.idleRequirements.pop_front();
@@ -162,7 +162,7 @@
     }
     for (BackendRecord &backend : pool.backends) {
         if (id < backend.freePosition.size()) {
-            backend.freePosition[id] = NotAble;
+            backend.freePosition[id] = NotEligible;
         }
     }
     pool.requirementsByKey.erase(requirement.key);
@@ -170,7 +170,7 @@
     pool.unusedRequirements.push_back(id);
 }
 
-bool sameEquipment(const Schema::BackendServer &left, const Schema::BackendServer &right)
+bool sameDescription(const Schema::BackendServer &left, const Schema::BackendServer &right)
 {
     return left.name == right.name && left.failureDomain == right.failureDomain
            && left.services == right.services
@@ -181,15 +181,15 @@
 
 } // namespace
 
-bool fits(const Schema::Resources &whole, const Schema::Resources &used,
+bool fits(const Schema::Resources &total, const Schema::Resources &used,
           const Schema::Resources &wanted)
 {
-    return used.processors + wanted.processors <= whole.processors
-           && used.memoryMb + wanted.memoryMb <= whole.memoryMb
-           && used.accelerators + wanted.accelerators <= whole.accelerators;
+    return used.processors + wanted.processors <= total.processors
+           && used.memoryMb + wanted.memoryMb <= total.memoryMb
+           && used.accelerators + wanted.accelerators <= total.accelerators;
 }
 
-bool isAble(const BackendRecord &backend, const Requirement &requirement)
+bool isEligible(const BackendRecord &backend, const Requirement &requirement)
 {
     // An idle requirement is judged too: its next job finds it as it is then.
     return !backend.instance.empty() && !backend.lost && !backend.draining
@@ -198,27 +198,27 @@
            && fits(backend.server.resources, {}, requirement.resources);
 }
 
-bool isOut(const BackendPool &pool, const BackendRecord &backend, std::int64_t nowMs)
+bool isUnavailable(const BackendPool &pool, const BackendRecord &backend, std::int64_t nowMs)
 {
     return backend.lost || backend.draining || backend.drainedByOperator || !backend.healthy
-           || backend.stalled || nowMs - backend.heardMs > pool.silenceMs
+           || backend.stalled || nowMs - backend.lastReceivedMs > pool.silenceMs
            || nowMs < backend.pausedUntilMs;
 }
 
-std::int64_t placesOf(const BackendRecord &backend)
+std::int64_t concurrencyLimit(const BackendRecord &backend)
 {
     const std::int64_t window = std::min(backend.window, backend.server.connections);
     return healthLimit(backend.health, window);
 }
 
-bool hasPlace(const BackendRecord &backend, const Requirement &requirement)
+bool hasRoomFor(const BackendRecord &backend, const Requirement &requirement)
 {
-    return backend.inFlight < placesOf(backend)
+    return backend.inFlight < concurrencyLimit(backend)
            && fits(backend.server.resources, backend.used, requirement.resources);
 }
 
-RequirementId useRequirement(BackendPool &pool, const std::string &service,
-                             const Schema::Resources &resources, std::int64_t nowMs)
+RequirementId acquireRequirement(BackendPool &pool, const std::string &service,
+                                 const Schema::Resources &resources, std::int64_t nowMs)
 {
     const std::string key = keyOf(service, resources);
     const auto found = pool.requirementsByKey.find(key);
@@ -239,12 +239,12 @@
     requirement.service = service;
     requirement.resources = resources;
     requirement.users = 1;
-    requirement.unableSinceMs = nowMs;
+    requirement.ineligibleSinceMs = nowMs;
     pool.requirementsByKey.emplace(key, id);
     for (BackendIndex index = 0; index < pool.backends.size(); ++index) {
-        pool.backends[index].freePosition.resize(pool.requirements.size(), NotAble);
-        judgeAbility(pool, index, id, nowMs);
-        refreshMembership(pool, index, id, isOut(pool, pool.backends[index], nowMs));
+        pool.backends[index].freePosition.resize(pool.requirements.size(), NotEligible);
+        updateEligibility(pool, index, id, nowMs);
+        updateFreeList(pool, index, id, isUnavailable(pool, pool.backends[index], nowMs));
     }
     return id;
 }
@@ -259,11 +259,11 @@
     requirement.idle = true;
     pool.idleRequirements.push_back(id);
     if (pool.idleRequirements.size() > MaxIdleRequirements) {
-        forgetOldestIdle(pool);
+        removeOldestIdle(pool);
     }
 }
 
-BackendIndex backendHeard(BackendPool &pool, const Schema::AgentHello &hello, std::int64_t nowMs)
+BackendIndex updateBackend(BackendPool &pool, const Schema::AgentHello &hello, std::int64_t nowMs)
 {
     const auto found = pool.byInstance.find(hello.instance);
     const bool known = found != pool.byInstance.end();
@@ -272,37 +272,37 @@
     // Heartbeats after the first may leave the description out.
     const bool described = !hello.backend.name.empty();
     const bool changed = !known || backend.lost || backend.draining != hello.draining
-                         || (described && !sameEquipment(backend.server, hello.backend));
+                         || (described && !sameDescription(backend.server, hello.backend));
     backend.lost = false;
     backend.draining = hello.draining;
     backend.healthy = hello.healthy;
     backend.window = hello.window;
     backend.reportedRunning = hello.running;
-    backend.heardMs = nowMs;
+    backend.lastReceivedMs = nowMs;
     if (described) {
         if (backend.inFlight > 0 && backend.server.failureDomain != hello.backend.failureDomain) {
             pool.domains[backend.domain].inFlight -= backend.inFlight;
-            pool.domains[findDomain(pool, hello.backend.failureDomain)].inFlight +=
+            pool.domains[findOrAddDomain(pool, hello.backend.failureDomain)].inFlight +=
                     backend.inFlight;
         }
         backend.server = hello.backend;
-        backend.domain = findDomain(pool, hello.backend.failureDomain);
+        backend.domain = findOrAddDomain(pool, hello.backend.failureDomain);
         backend.drainedByOperator = isDrained(pool, hello.backend.name);
     }
     if (changed) {
-        judgeAbilities(pool, index, nowMs);
+        updateEligibilities(pool, index, nowMs);
     } else {
-        refreshBackend(pool, index, nowMs);
+        updateFreeLists(pool, index, nowMs);
     }
     return index;
 }
 
-void backendLost(BackendPool &pool, BackendIndex index, std::int64_t nowMs)
+void markBackendLost(BackendPool &pool, BackendIndex index, std::int64_t nowMs)
 {
     pool.backends[index].lost = true;
-    judgeAbilities(pool, index, nowMs);
+    updateEligibilities(pool, index, nowMs);
     if (pool.backends[index].inFlight == 0) {
-        forget(pool, index);
+        removeBackend(pool, index);
     }
 }
 
@@ -315,21 +315,21 @@
     for (BackendIndex index = 0; index < pool.backends.size(); ++index) {
         BackendRecord &backend = pool.backends[index];
         backend.drainedByOperator = isDrained(pool, backend.server.name);
-        judgeAbilities(pool, index, nowMs);
+        updateEligibilities(pool, index, nowMs);
     }
 }
 
-void refreshBackend(BackendPool &pool, BackendIndex index, std::int64_t nowMs)
+void updateFreeLists(BackendPool &pool, BackendIndex index, std::int64_t nowMs)
 {
-    const bool out = isOut(pool, pool.backends[index], nowMs);
+    const bool unavailable = isUnavailable(pool, pool.backends[index], nowMs);
     const std::size_t count = pool.backends[index].freePosition.size();
     for (RequirementId id = 0; id < count; ++id) {
-        refreshMembership(pool, index, id, out);
+        updateFreeList(pool, index, id, unavailable);
     }
 }
 
-void occupy(BackendPool &pool, BackendIndex index, const Requirement &requirement, double workMs,
-            std::int64_t nowMs)
+void occupySlot(BackendPool &pool, BackendIndex index, const Requirement &requirement,
+                double workMs, std::int64_t nowMs)
 {
     BackendRecord &backend = pool.backends[index];
     backend.inFlight += 1;
@@ -339,11 +339,11 @@
     pool.domains[backend.domain].inFlight += 1;
     pool.inFlight += 1;
     pool.inFlightWorkMs += workMs;
-    refreshBackend(pool, index, nowMs);
+    updateFreeLists(pool, index, nowMs);
 }
 
-void vacate(BackendPool &pool, BackendIndex index, const Schema::Resources &resources,
-            double workMs, std::int64_t nowMs)
+void vacateSlot(BackendPool &pool, BackendIndex index, const Schema::Resources &resources,
+                double workMs, std::int64_t nowMs)
 {
     BackendRecord &backend = pool.backends[index];
     backend.inFlight -= 1;
@@ -359,16 +359,16 @@
         backend.stalled = false;
     }
     if (backend.lost && backend.inFlight == 0) {
-        forget(pool, index);
+        removeBackend(pool, index);
         return;
     }
-    refreshBackend(pool, index, nowMs);
+    updateFreeLists(pool, index, nowMs);
 }
 
-void backendDrains(BackendPool &pool, BackendIndex index, std::int64_t nowMs)
+void markBackendDraining(BackendPool &pool, BackendIndex index, std::int64_t nowMs)
 {
     pool.backends[index].draining = true;
-    judgeAbilities(pool, index, nowMs);
+    updateEligibilities(pool, index, nowMs);
 }
 
 void sweepBackends(BackendPool &pool, std::int64_t nowMs)
@@ -376,23 +376,23 @@
     if (nowMs - pool.sweptMs < SweepPeriodMs) {
         return;
     }
-    const std::int64_t elapsedMs = std::min(nowMs - pool.sweptMs, MaxForgivenessStepMs);
+    const std::int64_t elapsedMs = std::min(nowMs - pool.sweptMs, MaxSlownessDecayStepMs);
     pool.sweptMs = nowMs;
-    pool.whole = {1, 0, 0};
+    pool.total = {1, 0, 0};
     for (BackendIndex index = 0; index < pool.backends.size(); ++index) {
         BackendRecord &backend = pool.backends[index];
         if (backend.instance.empty()) {
             continue;
         }
         if (backend.inFlight == 0) {
-            forgiveSlowness(backend.speed, elapsedMs);
+            decaySlowness(backend.speed, elapsedMs);
         }
-        advanceHealth(backend.health, nowMs);
-        refreshBackend(pool, index, nowMs);
-        if (!isOut(pool, backend, nowMs)) {
-            const auto slots = static_cast<double>(placesOf(backend));
-            pool.whole.slots += slots;
-            pool.whole.capacity += slots / speedFactor(backend.speed);
+        startTrialIfDue(backend.health, nowMs);
+        updateFreeLists(pool, index, nowMs);
+        if (!isUnavailable(pool, backend, nowMs)) {
+            const auto slots = static_cast<double>(concurrencyLimit(backend));
+            pool.total.slots += slots;
+            pool.total.capacity += slots / speedFactor(backend.speed);
         }
     }
 }
--- a/Source/Core/Dispatch/Scheduling/BackendPool.h
+++ b/Source/Core/Dispatch/Scheduling/BackendPool.h
@@ -25,7 +25,7 @@
 
 /// Position in a requirement's list of free backend servers.
 constexpr std::int32_t NotFree = -1;
-constexpr std::int32_t NotAble = -2;
+constexpr std::int32_t NotEligible = -2;
 
 struct BackendRecord
 {
@@ -45,10 +45,10 @@
     bool healthy = true;
     /// Most of what it holds is far over its time.
     bool stalled = false;
-    std::int64_t heardMs = 0;
+    std::int64_t lastReceivedMs = 0;
     /// Refused a start: gets none until then.
     std::int64_t pausedUntilMs = 0;
-    int refusalsInRow = 0;
+    int consecutiveRefusals = 0;
     BackendSpeed speed;
     HealthRecord health;
     /// By requirement.
@@ -77,8 +77,8 @@
     bool idle = false;
     std::vector<BackendIndex> free;
     /// Able, whether free or not.
-    std::size_t ableCount = 0;
-    std::int64_t unableSinceMs = 0;
+    std::size_t eligibleCount = 0;
+    std::int64_t ineligibleSinceMs = 0;
     /// Runnable tasks that wait for it.
     std::int64_t queuedTasks = 0;
     /// By factor, each with the sum up to it.
@@ -109,45 +109,45 @@
     std::int64_t inFlight = 0;
     double inFlightWorkMs = 0;
     /// Of all backend servers that take work.
-    SpeedStep whole{1, 0, 0};
+    SpeedStep total{1, 0, 0};
     std::int64_t sweptMs = 0;
 };
 
-/// Of \a whole, with \a used taken, \a wanted is left.
-bool fits(const Schema::Resources &whole, const Schema::Resources &used,
+/// Of \a total, with \a used taken, \a wanted is left.
+bool fits(const Schema::Resources &total, const Schema::Resources &used,
           const Schema::Resources &wanted);
 
 /// A task of \a requirement fits the equipment, were all of it free.
-bool isAble(const BackendRecord &backend, const Requirement &requirement);
+bool isEligible(const BackendRecord &backend, const Requirement &requirement);
 
 /// Takes no new work at the moment, whatever its window.
-bool isOut(const BackendPool &pool, const BackendRecord &backend, std::int64_t nowMs);
+bool isUnavailable(const BackendPool &pool, const BackendRecord &backend, std::int64_t nowMs);
 
 /// Tasks that may be in flight there, counted from here.
-std::int64_t placesOf(const BackendRecord &backend);
+std::int64_t concurrencyLimit(const BackendRecord &backend);
 
-bool hasPlace(const BackendRecord &backend, const Requirement &requirement);
+bool hasRoomFor(const BackendRecord &backend, const Requirement &requirement);
 
-RequirementId useRequirement(BackendPool &pool, const std::string &service,
-                             const Schema::Resources &resources, std::int64_t nowMs);
+RequirementId acquireRequirement(BackendPool &pool, const std::string &service,
+                                 const Schema::Resources &resources, std::int64_t nowMs);
 void releaseRequirement(BackendPool &pool, RequirementId id);
 
 /// Takes a hello in. Returns the backend server's index.
-BackendIndex backendHeard(BackendPool &pool, const Schema::AgentHello &hello, std::int64_t nowMs);
-void backendLost(BackendPool &pool, BackendIndex index, std::int64_t nowMs);
+BackendIndex updateBackend(BackendPool &pool, const Schema::AgentHello &hello, std::int64_t nowMs);
+void markBackendLost(BackendPool &pool, BackendIndex index, std::int64_t nowMs);
 void setDrains(BackendPool &pool, const std::vector<Schema::Drain> &drains, std::int64_t nowMs);
 
 /// Puts the backend server into, or takes it out of, the lists of free ones after any change.
-void refreshBackend(BackendPool &pool, BackendIndex index, std::int64_t nowMs);
+void updateFreeLists(BackendPool &pool, BackendIndex index, std::int64_t nowMs);
 
-void occupy(BackendPool &pool, BackendIndex index, const Requirement &requirement, double workMs,
-            std::int64_t nowMs);
+void occupySlot(BackendPool &pool, BackendIndex index, const Requirement &requirement,
+                double workMs, std::int64_t nowMs);
 /// Undoes occupy(); frees the entry of a lost backend server with its last task.
-void vacate(BackendPool &pool, BackendIndex index, const Schema::Resources &resources,
-            double workMs, std::int64_t nowMs);
+void vacateSlot(BackendPool &pool, BackendIndex index, const Schema::Resources &resources,
+                double workMs, std::int64_t nowMs);
 
 /// The agent leaves: no new work, without waiting for its next hello.
-void backendDrains(BackendPool &pool, BackendIndex index, std::int64_t nowMs);
+void markBackendDraining(BackendPool &pool, BackendIndex index, std::int64_t nowMs);
 
 /// Looks after what changes by time alone: silence, pauses that end, trials. Cheap when called
 /// often.
--- a/Source/Core/Dispatch/Scheduling/Capacity.cpp
+++ b/Source/Core/Dispatch/Scheduling/Capacity.cpp
@@ -19,9 +19,10 @@
     requirement.stepsAtMs = nowMs;
     requirement.steps.clear();
     for (const BackendRecord &backend : pool.backends) {
-        const bool able = id < backend.freePosition.size() && backend.freePosition[id] != NotAble;
-        const auto slots = static_cast<double>(placesOf(backend));
-        if (able && slots > 0 && !isOut(pool, backend, nowMs)) {
+        const bool eligible =
+                id < backend.freePosition.size() && backend.freePosition[id] != NotEligible;
+        const auto slots = static_cast<double>(concurrencyLimit(backend));
+        if (eligible && slots > 0 && !isUnavailable(pool, backend, nowMs)) {
             const double factor = speedFactor(backend.speed);
             requirement.steps.push_back({factor, slots, slots / factor});
         }
@@ -40,7 +41,7 @@
     return requirement.steps;
 }
 
-SpeedStep wholeCapacity(BackendPool &pool, RequirementId id, std::int64_t nowMs)
+SpeedStep totalCapacity(BackendPool &pool, RequirementId id, std::int64_t nowMs)
 {
     const std::vector<SpeedStep> &steps = speedSteps(pool, id, nowMs);
     return steps.empty() ? SpeedStep{1, 0, 0} : steps.back();
--- a/Source/Core/Dispatch/Scheduling/Capacity.h
+++ b/Source/Core/Dispatch/Scheduling/Capacity.h
@@ -13,6 +13,6 @@
 const std::vector<SpeedStep> &speedSteps(BackendPool &pool, RequirementId id, std::int64_t nowMs);
 
 /// Of all speeds; nothing where no backend server is usable.
-SpeedStep wholeCapacity(BackendPool &pool, RequirementId id, std::int64_t nowMs);
+SpeedStep totalCapacity(BackendPool &pool, RequirementId id, std::int64_t nowMs);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/EarlyBinding.cpp
+++ b/Source/Core/Dispatch/Scheduling/EarlyBinding.cpp
@@ -1,24 +1,24 @@
 #include "Dispatch/Scheduling/EarlyBinding.h"
 
-#include "Dispatch/Scheduling/Flight.h"
-#include "Dispatch/Scheduling/JobBook.h"
 #include "Dispatch/Scheduling/Placement.h"
+#include "Dispatch/Scheduling/ScheduledJobs.h"
+#include "Dispatch/Scheduling/TasksInFlight.h"
 
 namespace Dispatch {
 namespace {
 
-void giveBack(SchedulerState &state, const BoundTasks &tasks)
+void requeueBound(SchedulerState &state, const BoundTasks &tasks)
 {
     for (const auto &[number, index] : tasks) {
         const auto job = state.jobs.find(number);
         if (job != state.jobs.end()) {
-            offerAgain(state, job->second, index);
+            requeueTask(state, job->second, index);
         }
     }
 }
 
-bool startFirst(SchedulerState &state, BackendIndex backend, BoundTasks &tasks, Common::Moment now,
-                std::vector<Assignment> &assignments)
+bool startFirstBound(SchedulerState &state, BackendIndex backend, BoundTasks &tasks,
+                     Common::Moment now, std::vector<Assignment> &assignments)
 {
     const auto [number, index] = tasks.front();
     const auto found = state.jobs.find(number);
@@ -28,11 +28,11 @@
         return true;
     }
     ScheduledJob &job = found->second;
-    if (!hasPlace(state.pool.backends[backend], state.pool.requirements[job.requirement])) {
+    if (!hasRoomFor(state.pool.backends[backend], state.pool.requirements[job.requirement])) {
         return false;
     }
     tasks.pop_front();
-    takeDelayed(state, job);
+    removeDelayed(state, job);
     assignments.push_back(startTask(state, job, index, backend, now));
     return true;
 }
@@ -44,12 +44,13 @@
     for (auto entry = state.bound.begin(); entry != state.bound.end();) {
         BoundTasks &tasks = entry->second;
         const BackendRecord &backend = state.pool.backends[entry->first];
-        const bool out = isOut(state.pool, backend, now.steadyMs) || placesOf(backend) == 0;
-        if (out || !bindsEarly(state.placement)) {
-            giveBack(state, tasks);
+        const bool unavailable =
+                isUnavailable(state.pool, backend, now.steadyMs) || concurrencyLimit(backend) == 0;
+        if (unavailable || !bindsEarly(state.placement)) {
+            requeueBound(state, tasks);
             tasks.clear();
         }
-        while (!tasks.empty() && startFirst(state, entry->first, tasks, now, assignments)) {
+        while (!tasks.empty() && startFirstBound(state, entry->first, tasks, now, assignments)) {
         }
         entry = tasks.empty() ? state.bound.erase(entry) : std::next(entry);
     }
@@ -64,13 +65,13 @@
         return false;
     }
     const Requirement &requirement = state.pool.requirements[job.requirement];
-    const bool free = hasPlace(state.pool.backends[*chosen], requirement);
+    const bool free = hasRoomFor(state.pool.backends[*chosen], requirement);
     const int index = takeTask(state, job);
     if (free && state.bound.count(*chosen) == 0) {
         assignments.push_back(startTask(state, job, index, *chosen, now));
         return true;
     }
-    holdDelayed(state, job);
+    addDelayed(state, job);
     state.bound[*chosen].emplace_back(job.number, index);
     return true;
 }
--- a/Source/Core/Dispatch/Scheduling/Estimates.cpp
+++ b/Source/Core/Dispatch/Scheduling/Estimates.cpp
@@ -14,25 +14,25 @@
 constexpr double PriorWeight = 3;
 /// A guess may be off by ten times either way, as declared times are.
 constexpr double PriorSpread = 10;
-constexpr std::int64_t GuessSamples = 8;
+constexpr std::int64_t MinLearnedSamples = 8;
 /// Bucket counts are halved past this weight: a service that changes is known anew after as many
 /// outcomes, and the p95 still rests on a dozen.
 constexpr double MaxWeight = 512;
-constexpr double MeanMemory = 128;
+constexpr double MeanSmoothingSamples = 128;
 /// One in sixteen: noise of 20% in the factor for exponentially distributed run times, and a
 /// backend server ten times slower than believed is steered around after its slots have turned over
 /// once.
-constexpr double SpeedMemory = 16;
+constexpr double SpeedSmoothingSamples = 16;
 /// Only the product of base and factor shows in outcomes; the pull towards 1 keeps the two from
 /// drifting apart.
-constexpr double FactorPull = 0.999;
+constexpr double FactorShrinkage = 0.999;
 constexpr double MaxLogFactor = 4.6;
 /// A backend server ten times slower is offered a task about once a minute.
-constexpr double ForgivenessHalfLifeMs = 20000;
+constexpr double SlownessHalfLifeMs = 20000;
 constexpr std::size_t MaxProfiles = 4096;
 /// What another process has learned weighs as much as this many outcomes of our own: enough to be
 /// believed at once, little enough to be corrected within two dozen.
-constexpr std::int64_t MostRecalledSamples = 16;
+constexpr std::int64_t MaxImportedSamples = 16;
 
 std::size_t bucketOf(double runMs)
 {
@@ -96,7 +96,8 @@
 
 } // namespace
 
-ProfileId findProfile(Estimates &estimates, const std::string &service, std::int64_t declaredMs)
+ProfileId findOrAddProfile(Estimates &estimates, const std::string &service,
+                           std::int64_t declaredMs)
 {
     const std::string key = keyOf(service, declaredMs);
     const auto found = estimates.byKey.find(key);
@@ -104,7 +105,7 @@
         return found->second;
     }
     if (declaredMs > 0 && estimates.profiles.size() >= MaxProfiles) {
-        return findProfile(estimates, service, 0);
+        return findOrAddProfile(estimates, service, 0);
     }
     RunProfile profile;
     profile.priorMs = declaredMs > 0 ? static_cast<double>(declaredMs) : DefaultRunMs;
@@ -113,7 +114,7 @@
 
 bool isGuess(const Estimates &estimates, ProfileId profile)
 {
-    return !estimates.trustDeclared && estimates.profiles[profile].samples < GuessSamples;
+    return !estimates.trustDeclared && estimates.profiles[profile].samples < MinLearnedSamples;
 }
 
 double meanRunMs(const Estimates &estimates, ProfileId profile)
@@ -143,16 +144,16 @@
     return std::exp(speed.logFactor);
 }
 
-void forgiveSlowness(BackendSpeed &speed, std::int64_t idleMs)
+void decaySlowness(BackendSpeed &speed, std::int64_t idleMs)
 {
     if (speed.logFactor > 0) {
-        speed.logFactor *= std::exp2(-static_cast<double>(idleMs) / ForgivenessHalfLifeMs);
+        speed.logFactor *= std::exp2(-static_cast<double>(idleMs) / SlownessHalfLifeMs);
     }
 }
 
-std::vector<RecalledProfile> learnedProfiles(const Estimates &estimates)
+std::vector<ProfileSummary> learnedProfiles(const Estimates &estimates)
 {
-    std::vector<RecalledProfile> learned;
+    std::vector<ProfileSummary> learned;
     for (const auto &[key, id] : estimates.byKey) {
         const RunProfile &profile = estimates.profiles[id];
         if (profile.samples > 0) {
@@ -164,55 +165,55 @@
     return learned;
 }
 
-void recallProfile(Estimates &estimates, const RecalledProfile &recalled)
+void importProfile(Estimates &estimates, const ProfileSummary &imported)
 {
-    const auto found = estimates.byKey.find(recalled.key);
+    const auto found = estimates.byKey.find(imported.key);
     const bool isFull = found == estimates.byKey.end() && estimates.profiles.size() >= MaxProfiles;
-    if (isFull || recalled.meanMs <= 0 || recalled.samples <= 0) {
+    if (isFull || imported.meanMs <= 0 || imported.samples <= 0) {
         return;
     }
     const ProfileId id = found != estimates.byKey.end() ? found->second
-                                                        : addProfile(estimates, recalled.key, {});
+                                                        : addProfile(estimates, imported.key, {});
     RunProfile &profile = estimates.profiles[id];
-    const std::int64_t samples = std::min(recalled.samples, MostRecalledSamples);
+    const std::int64_t samples = std::min(imported.samples, MaxImportedSamples);
     if (profile.samples >= samples) {
         return;
     }
-    profile.priorMs = recalled.meanMs;
-    profile.meanMs = recalled.meanMs;
-    profile.meanLog = recalled.meanLog;
+    profile.priorMs = imported.meanMs;
+    profile.meanMs = imported.meanMs;
+    profile.meanLog = imported.meanLog;
     profile.samples = samples;
     profile.buckets = {};
-    profile.buckets[bucketOf(recalled.meanMs)] = static_cast<float>(samples);
+    profile.buckets[bucketOf(imported.meanMs)] = static_cast<float>(samples);
     profile.weight = static_cast<double>(samples);
 }
 
-void recallSpeed(BackendSpeed &speed, const BackendSpeed &recalled)
+void importSpeed(BackendSpeed &speed, const BackendSpeed &imported)
 {
-    const std::int64_t samples = std::min(recalled.samples, MostRecalledSamples);
+    const std::int64_t samples = std::min(imported.samples, MaxImportedSamples);
     if (speed.samples >= samples) {
         return;
     }
-    speed.logFactor = std::clamp(recalled.logFactor, -MaxLogFactor, MaxLogFactor);
+    speed.logFactor = std::clamp(imported.logFactor, -MaxLogFactor, MaxLogFactor);
     speed.samples = samples;
 }
 
-void learnRun(Estimates &estimates, ProfileId profile, BackendSpeed &speed, double runMs)
+void recordRunTime(Estimates &estimates, ProfileId profile, BackendSpeed &speed, double runMs)
 {
     RunProfile &known = estimates.profiles[profile];
     const double logRun = std::log(std::max(runMs, 1.0));
     const double baseMs = std::max(runMs, 1.0) / speedFactor(speed);
     known.samples += 1;
-    const double share = 1 / std::min(static_cast<double>(known.samples), MeanMemory);
+    const double share = 1 / std::min(static_cast<double>(known.samples), MeanSmoothingSamples);
     known.meanMs += share * (baseMs - known.meanMs);
     known.meanLog += share * (logRun - speed.logFactor - known.meanLog);
     countRun(known, baseMs);
 
     speed.samples += 1;
     const double speedShare =
-            1 / std::min(static_cast<double>(speed.samples) + PriorWeight, SpeedMemory);
+            1 / std::min(static_cast<double>(speed.samples) + PriorWeight, SpeedSmoothingSamples);
     const double error = logRun - known.meanLog - speed.logFactor;
-    const double moved = (speed.logFactor + speedShare * error) * FactorPull;
+    const double moved = (speed.logFactor + speedShare * error) * FactorShrinkage;
     speed.logFactor = std::clamp(moved, -MaxLogFactor, MaxLogFactor);
 }
 
--- a/Source/Core/Dispatch/Scheduling/Estimates.h
+++ b/Source/Core/Dispatch/Scheduling/Estimates.h
@@ -53,7 +53,8 @@
 
 /// The profile for tasks of \a service with this declaration; \a declaredMs of 0 is none. Profiles
 /// are bounded in number: past the bound, a service's tasks share its profile without declaration.
-ProfileId findProfile(Estimates &estimates, const std::string &service, std::int64_t declaredMs);
+ProfileId findOrAddProfile(Estimates &estimates, const std::string &service,
+                           std::int64_t declaredMs);
 
 /// Few outcomes known: what is said of run times is a guess.
 bool isGuess(const Estimates &estimates, ProfileId profile);
@@ -69,10 +70,10 @@
 
 /// A slow backend server that gets nothing is forgiven with time: otherwise one that has recovered
 /// would never be found out.
-void forgiveSlowness(BackendSpeed &speed, std::int64_t idleMs);
+void decaySlowness(BackendSpeed &speed, std::int64_t idleMs);
 
 /// What another process has learned of a profile.
-struct RecalledProfile
+struct ProfileSummary
 {
     std::string key;
     double meanMs = 0;
@@ -81,15 +82,15 @@
 };
 
 /// Every profile that outcomes are known of.
-std::vector<RecalledProfile> learnedProfiles(const Estimates &estimates);
+std::vector<ProfileSummary> learnedProfiles(const Estimates &estimates);
 
 /// Takes a profile over from another process, unless this one knows as much by itself.
-void recallProfile(Estimates &estimates, const RecalledProfile &recalled);
+void importProfile(Estimates &estimates, const ProfileSummary &imported);
 
 /// The same of a backend server's factor.
-void recallSpeed(BackendSpeed &speed, const BackendSpeed &recalled);
+void importSpeed(BackendSpeed &speed, const BackendSpeed &imported);
 
 /// Takes in the run time of a task that succeeded.
-void learnRun(Estimates &estimates, ProfileId profile, BackendSpeed &speed, double runMs);
+void recordRunTime(Estimates &estimates, ProfileId profile, BackendSpeed &speed, double runMs);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/FairQueue.cpp
+++ b/Source/Core/Dispatch/Scheduling/FairQueue.cpp
@@ -7,14 +7,14 @@
 
 /// How much response over ideal a long job gives up for a short one: with 4, a 5 s job lets jobs
 /// pass that arrive up to 20 s after it, within the 30 s of the default deadline.
-constexpr double LengthStretch = 4;
+constexpr double LengthWeight = 4;
 
-double orderOf(const FairQueue &queue, const QueuedJob &job)
+double sortKeyOf(const FairQueue &queue, const QueuedJob &job)
 {
     if (queue.order == QueueOrder::Arrival) {
         return static_cast<double>(job.job);
     }
-    return static_cast<double>(job.arrivalMs) + LengthStretch * job.idealMs;
+    return static_cast<double>(job.arrivalMs) + LengthWeight * job.idealMs;
 }
 
 void activateTeam(FairQueue &queue, TeamId id)
@@ -55,7 +55,7 @@
 }
 
 /// Moves caller and team on in virtual time, keeping the active sets in order.
-void advance(FairQueue &queue, CallerId id, double workMs)
+void advanceVirtualTime(FairQueue &queue, CallerId id, double workMs)
 {
     CallerQueue &caller = queue.callers[id];
     TeamQueue &team = queue.teams[caller.team];
@@ -127,7 +127,7 @@
 
 } // namespace
 
-TeamId findTeam(FairQueue &queue, const std::string &name)
+TeamId findOrAddTeam(FairQueue &queue, const std::string &name)
 {
     const auto found = queue.teamsByName.find(name);
     if (found != queue.teamsByName.end()) {
@@ -150,7 +150,7 @@
     team.quota = quota;
 }
 
-CallerId findCaller(FairQueue &queue, TeamId team, const std::string &name)
+CallerId findOrAddCaller(FairQueue &queue, TeamId team, const std::string &name)
 {
     const auto found = queue.teams[team].callers.find(name);
     if (found != queue.teams[team].callers.end()) {
@@ -179,7 +179,7 @@
     if (caller.lanes.empty()) {
         activateCaller(queue, job.caller);
     }
-    caller.lanes[job.lane].emplace(orderOf(queue, job), job.job);
+    caller.lanes[job.lane].emplace(sortKeyOf(queue, job), job.job);
     if (job.lane >= queue.laneJobs.size()) {
         queue.laneJobs.resize(job.lane + 1);
     }
@@ -197,7 +197,7 @@
     queue.laneJobs[job.lane] -= 1;
     CallerQueue &caller = queue.callers[job.caller];
     auto &lane = caller.lanes[job.lane];
-    lane.erase({orderOf(queue, job), number});
+    lane.erase({sortKeyOf(queue, job), number});
     if (!lane.empty()) {
         return;
     }
@@ -233,7 +233,7 @@
     team.callersVirtualTime = std::max(team.callersVirtualTime, caller.virtualTime);
     caller.inFlight += 1;
     team.inFlight += 1;
-    advance(queue, id, workMs);
+    advanceVirtualTime(queue, id, workMs);
 }
 
 void chargeEnd(FairQueue &queue, CallerId id, double correctionMs)
@@ -241,7 +241,7 @@
     CallerQueue &caller = queue.callers[id];
     caller.inFlight -= 1;
     queue.teams[caller.team].inFlight -= 1;
-    advance(queue, id, correctionMs);
+    advanceVirtualTime(queue, id, correctionMs);
 }
 
 double fairShare(const FairQueue &queue, CallerId id)
@@ -254,7 +254,7 @@
            / static_cast<double>(std::max<std::size_t>(callers, 1));
 }
 
-void forgetIdleCallers(FairQueue &queue)
+void removeIdleCallers(FairQueue &queue)
 {
     for (TeamQueue &team : queue.teams) {
         for (auto entry = team.callers.begin(); entry != team.callers.end();) {
--- a/Source/Core/Dispatch/Scheduling/FairQueue.h
+++ b/Source/Core/Dispatch/Scheduling/FairQueue.h
@@ -114,9 +114,9 @@
     std::int64_t callersTasks = 0;
 };
 
-TeamId findTeam(FairQueue &queue, const std::string &name);
+TeamId findOrAddTeam(FairQueue &queue, const std::string &name);
 void setTeam(FairQueue &queue, TeamId team, double weight, std::int64_t quota);
-CallerId findCaller(FairQueue &queue, TeamId team, const std::string &name);
+CallerId findOrAddCaller(FairQueue &queue, TeamId team, const std::string &name);
 
 void enqueue(FairQueue &queue, const QueuedJob &job);
 /// Does nothing where the job is not queued.
@@ -136,6 +136,6 @@
 
 /// Forgets callers that have nothing here and are owed nothing. Memory stays bounded by the callers
 /// of the last moments.
-void forgetIdleCallers(FairQueue &queue);
+void removeIdleCallers(FairQueue &queue);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/Health.cpp
+++ b/Source/Core/Dispatch/Scheduling/Health.cpp
@@ -6,27 +6,27 @@
 namespace Dispatch {
 namespace {
 
-constexpr std::size_t EjectableOneIn = 3;
+constexpr std::size_t BackendsPerEjection = 3;
 /// Three fast failures in a row: with one honest failure in twenty, once in 8,000 tasks.
 constexpr int MaxFastFailures = 3;
 /// Five slow ones in a row: once in 3 million.
 constexpr int MaxFailures = 5;
 /// For one that fails most but not all.
 constexpr double MaxFailureRate = 0.5;
-constexpr std::int64_t RateOutcomes = 12;
-constexpr double RateMemory = 12;
+constexpr std::int64_t MinRateOutcomes = 12;
+constexpr double FailureRateSmoothingSamples = 12;
 /// A restart takes seconds; a trial that fails costs a caller a job, so they soon become rare.
 constexpr std::int64_t FirstEjectionMs = 2000;
 constexpr std::int64_t MaxEjectionMs = 60000;
 constexpr int MaxDoublings = 5;
-constexpr std::int64_t SlowStartTasks = 2;
-constexpr std::int64_t SlowStartEnds = 64;
+constexpr std::int64_t InitialSlowStartLimit = 2;
+constexpr std::int64_t FinalSlowStartLimit = 64;
 constexpr std::size_t MaxOutcomesKept = 64;
 
 void succeeded(HealthRecord &record)
 {
-    record.failuresInRow = 0;
-    record.fastFailuresInRow = 0;
+    record.consecutiveFailures = 0;
+    record.consecutiveFastFailures = 0;
     if (record.phase == HealthPhase::Trial) {
         beginSlowStart(record);
         return;
@@ -36,7 +36,7 @@
     }
     // One more for each success doubles the limit with each turnover of the slots.
     record.slowStartLimit += 1;
-    if (record.slowStartLimit >= SlowStartEnds) {
+    if (record.slowStartLimit >= FinalSlowStartLimit) {
         record.phase = HealthPhase::Healthy;
         record.ejections = 0;
     }
@@ -44,15 +44,15 @@
 
 } // namespace
 
-std::size_t mostEjected(std::size_t backendCount)
+std::size_t maxEjected(std::size_t backendCount)
 {
     if (backendCount < 2) {
         return 0;
     }
-    return std::max<std::size_t>(1, backendCount / EjectableOneIn);
+    return std::max<std::size_t>(1, backendCount / BackendsPerEjection);
 }
 
-void noteServiceOutcome(ServiceOutcomes &service, std::uint32_t backend, bool succeeded)
+void recordServiceOutcome(ServiceOutcomes &service, std::uint32_t backend, bool succeeded)
 {
     const auto found = service.lastSucceeded.find(backend);
     if (found != service.lastSucceeded.end()) {
@@ -69,28 +69,29 @@
     service.failing += succeeded ? 0 : 1;
 }
 
-bool serviceToBlame(const ServiceOutcomes &service)
+bool isServiceFailing(const ServiceOutcomes &service)
 {
     return service.failing * 2 > service.lastSucceeded.size();
 }
 
-bool outcomeObserved(HealthRecord &record, const TaskOutcome &outcome)
+bool recordOutcome(HealthRecord &record, const TaskOutcome &outcome)
 {
     record.outcomes += 1;
-    const double share = 1 / std::min(static_cast<double>(record.outcomes), RateMemory);
+    const double share =
+            1 / std::min(static_cast<double>(record.outcomes), FailureRateSmoothingSamples);
     record.failureRate += share * ((outcome.succeeded ? 0 : 1) - record.failureRate);
     if (outcome.succeeded) {
         succeeded(record);
         return false;
     }
-    record.failuresInRow += 1;
-    record.fastFailuresInRow = outcome.fast ? record.fastFailuresInRow + 1 : 0;
+    record.consecutiveFailures += 1;
+    record.consecutiveFastFailures = outcome.fast ? record.consecutiveFastFailures + 1 : 0;
     if (record.phase == HealthPhase::Ejected) {
         return false;
     }
-    return record.phase == HealthPhase::Trial || record.fastFailuresInRow >= MaxFastFailures
-           || record.failuresInRow >= MaxFailures
-           || (record.outcomes >= RateOutcomes && record.failureRate > MaxFailureRate);
+    return record.phase == HealthPhase::Trial || record.consecutiveFastFailures >= MaxFastFailures
+           || record.consecutiveFailures >= MaxFailures
+           || (record.outcomes >= MinRateOutcomes && record.failureRate > MaxFailureRate);
 }
 
 void eject(HealthRecord &record, std::int64_t nowMs)
@@ -101,17 +102,17 @@
     record.ejections += 1;
     record.outcomes = 0;
     record.failureRate = 0;
-    record.failuresInRow = 0;
-    record.fastFailuresInRow = 0;
+    record.consecutiveFailures = 0;
+    record.consecutiveFastFailures = 0;
 }
 
 void beginSlowStart(HealthRecord &record)
 {
     record.phase = HealthPhase::SlowStart;
-    record.slowStartLimit = SlowStartTasks;
+    record.slowStartLimit = InitialSlowStartLimit;
 }
 
-bool advanceHealth(HealthRecord &record, std::int64_t nowMs)
+bool startTrialIfDue(HealthRecord &record, std::int64_t nowMs)
 {
     if (record.phase != HealthPhase::Ejected || nowMs < record.ejectedUntilMs) {
         return false;
--- a/Source/Core/Dispatch/Scheduling/Health.h
+++ b/Source/Core/Dispatch/Scheduling/Health.h
@@ -23,8 +23,8 @@
 struct HealthRecord
 {
     HealthPhase phase = HealthPhase::Healthy;
-    int failuresInRow = 0;
-    int fastFailuresInRow = 0;
+    int consecutiveFailures = 0;
+    int consecutiveFastFailures = 0;
     double failureRate = 0;
     std::int64_t outcomes = 0;
     int ejections = 0;
@@ -47,15 +47,15 @@
 };
 
 /// A share of a third, and none where a backend server stands alone.
-std::size_t mostEjected(std::size_t backendCount);
+std::size_t maxEjected(std::size_t backendCount);
 
-void noteServiceOutcome(ServiceOutcomes &service, std::uint32_t backend, bool succeeded);
+void recordServiceOutcome(ServiceOutcomes &service, std::uint32_t backend, bool succeeded);
 
 /// The service fails wherever it runs.
-bool serviceToBlame(const ServiceOutcomes &service);
+bool isServiceFailing(const ServiceOutcomes &service);
 
 /// Takes an outcome in. True where the backend server should be ejected.
-bool outcomeObserved(HealthRecord &record, const TaskOutcome &outcome);
+bool recordOutcome(HealthRecord &record, const TaskOutcome &outcome);
 
 /// Out for a time that doubles with each ejection that follows another.
 void eject(HealthRecord &record, std::int64_t nowMs);
@@ -64,7 +64,7 @@
 void beginSlowStart(HealthRecord &record);
 
 /// Lets an ejected backend server have its trial when its time is up. True where something changed.
-bool advanceHealth(HealthRecord &record, std::int64_t nowMs);
+bool startTrialIfDue(HealthRecord &record, std::int64_t nowMs);
 
 /// Most tasks that may be in flight, of the \a window the agent offers.
 std::int64_t healthLimit(const HealthRecord &record, std::int64_t window);
--- a/Source/Core/Dispatch/Scheduling/Placement.cpp
+++ b/Source/Core/Dispatch/Scheduling/Placement.cpp
@@ -13,15 +13,15 @@
 /// A failure domain with all of the work looks that much slower than one with its part: equals are
 /// spread, so that a lost domain takes its part of the running tasks and not most of them, but a
 /// backend server a third faster is still preferred.
-constexpr double DomainSpread = 0.15;
+constexpr double DomainSpreadWeight = 0.15;
 /// Breaks ties between equals differently at each gateway.
 constexpr double ScoreJitter = 0.02;
 /// The wait for a faster place is an estimate: a sure place now is worth this much of it.
-constexpr double WaitCaution = 4;
+constexpr double WaitSafetyFactor = 4;
 /// Ones this close in speed are not worth waiting for.
 constexpr double NoticeablyFaster = 0.9;
-constexpr double TrialPreferred = 0.5;
-constexpr double TrialAvoided = 2;
+constexpr double TrialPreferredFactor = 0.5;
+constexpr double TrialAvoidedFactor = 2;
 
 double uniform(Common::Random &random)
 {
@@ -35,7 +35,7 @@
     if (backend.health.phase != HealthPhase::Trial) {
         return 1;
     }
-    return idempotent ? TrialPreferred : TrialAvoided;
+    return idempotent ? TrialPreferredFactor : TrialAvoidedFactor;
 }
 
 double score(const BackendPool &pool, const BackendRecord &backend, bool idempotent,
@@ -46,11 +46,11 @@
     const double part =
             pool.inFlight == 0 ? fairPart : inDomain / static_cast<double>(pool.inFlight);
     return speedFactor(backend.speed) * trialFactor(backend, idempotent)
-           * (1 + DomainSpread * (part - fairPart)) * (1 + ScoreJitter * uniform(random));
+           * (1 + DomainSpreadWeight * (part - fairPart)) * (1 + ScoreJitter * uniform(random));
 }
 
-BackendIndex fastestOfSample(const BackendPool &pool, const Requirement &requirement,
-                             bool idempotent, Common::Random &random)
+BackendIndex bestOfSample(const BackendPool &pool, const Requirement &requirement, bool idempotent,
+                          Common::Random &random)
 {
     const std::size_t count = std::min(requirement.free.size(), CandidateCount);
     const std::size_t first = random() % requirement.free.size();
@@ -85,7 +85,7 @@
     const double meanInFlightMs = pool.inFlightWorkMs / static_cast<double>(pool.inFlight);
     const double waitMs = query.tasksAhead * meanInFlightMs / faster.capacity;
     const double savedMs = query.runMs * (factor - faster.slots / faster.capacity);
-    return waitMs * WaitCaution < savedMs;
+    return waitMs * WaitSafetyFactor < savedMs;
 }
 
 double reportedLoad(const BackendRecord &backend)
@@ -94,10 +94,10 @@
     return static_cast<double>(backend.reportedRunning) / slots;
 }
 
-BackendIndex leastLoaded(const BackendPool &pool, const std::vector<BackendIndex> &able)
+BackendIndex leastLoaded(const BackendPool &pool, const std::vector<BackendIndex> &eligible)
 {
     return *std::min_element(
-            able.begin(), able.end(), [&pool](BackendIndex left, BackendIndex right) {
+            eligible.begin(), eligible.end(), [&pool](BackendIndex left, BackendIndex right) {
                 return reportedLoad(pool.backends[left]) < reportedLoad(pool.backends[right]);
             });
 }
@@ -111,7 +111,7 @@
     if (requirement.free.empty()) {
         return {PlacementKind::Full, 0};
     }
-    const BackendIndex best = fastestOfSample(pool, requirement, query.idempotent, random);
+    const BackendIndex best = bestOfSample(pool, requirement, query.idempotent, random);
     const bool wait = betterToWait(pool, query, best, nowMs);
     return {wait ? PlacementKind::Wait : PlacementKind::Found, best};
 }
@@ -125,29 +125,29 @@
                                      RequirementId requirement, std::int64_t nowMs,
                                      Common::Random &random)
 {
-    std::vector<BackendIndex> able;
+    std::vector<BackendIndex> eligible;
     for (BackendIndex index = 0; index < pool.backends.size(); ++index) {
         const BackendRecord &backend = pool.backends[index];
-        const bool isAble = requirement < backend.freePosition.size()
-                            && backend.freePosition[requirement] != NotAble;
-        if (isAble && !isOut(pool, backend, nowMs) && placesOf(backend) > 0) {
-            able.push_back(index);
+        const bool isEligible = requirement < backend.freePosition.size()
+                                && backend.freePosition[requirement] != NotEligible;
+        if (isEligible && !isUnavailable(pool, backend, nowMs) && concurrencyLimit(backend) > 0) {
+            eligible.push_back(index);
         }
     }
-    if (able.empty()) {
+    if (eligible.empty()) {
         return std::nullopt;
     }
     if (policy == Schema::PlacementPolicy::LeastLoaded) {
-        return leastLoaded(pool, able);
+        return leastLoaded(pool, eligible);
     }
-    const BackendIndex first = able[random() % able.size()];
+    const BackendIndex first = eligible[random() % eligible.size()];
     if (policy != Schema::PlacementPolicy::TwoChoices) {
         return first;
     }
-    const BackendIndex second = able[random() % able.size()];
-    const bool secondIdler =
+    const BackendIndex second = eligible[random() % eligible.size()];
+    const bool secondLessLoaded =
             reportedLoad(pool.backends[second]) < reportedLoad(pool.backends[first]);
-    return secondIdler ? second : first;
+    return secondLessLoaded ? second : first;
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/RetryBudget.cpp
+++ b/Source/Core/Dispatch/Scheduling/RetryBudget.cpp
@@ -9,11 +9,11 @@
 constexpr std::int64_t FirstBackoffMs = 5;
 constexpr std::int64_t BackoffGrowth = 3;
 constexpr std::int64_t MaxBackoffMs = 2000;
-constexpr std::int64_t OverBudgetMs = 500;
+constexpr std::int64_t OverBudgetDelayMs = 500;
 
 } // namespace
 
-void startCounted(RetryBudget &budget)
+void earnRetryTokens(RetryBudget &budget)
 {
     budget.tokens = std::min(budget.tokens + RetryTokensPerStart, MaxRetryTokens);
 }
@@ -26,7 +26,7 @@
     }
     const auto jitter = static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(bound + 1));
     if (budget.tokens < 1) {
-        return OverBudgetMs + jitter;
+        return OverBudgetDelayMs + jitter;
     }
     budget.tokens -= 1;
     return jitter;
--- a/Source/Core/Dispatch/Scheduling/RetryBudget.h
+++ b/Source/Core/Dispatch/Scheduling/RetryBudget.h
@@ -27,7 +27,7 @@
 /// lapsed lease or a silent agent takes to be noticed.
 constexpr int MaxStartAttempts = 8;
 
-void startCounted(RetryBudget &budget);
+void earnRetryTokens(RetryBudget &budget);
 
 /// How long the task waits before it is offered again, after its \a attempt th start was refused.
 /// Random between nothing and a bound that grows threefold. Without a token left, it also waits out
--- a/Source/Core/Dispatch/Scheduling/JobBook.cpp
+++ b/Source/Core/Dispatch/Scheduling/ScheduledJobs.cpp
@@ -1,4 +1,4 @@
-#include "Dispatch/Scheduling/JobBook.h"
+#include "Dispatch/Scheduling/ScheduledJobs.h"
 
 #include <algorithm>
 
@@ -40,7 +40,7 @@
     }
 }
 
-void offerTasks(SchedulerState &state, const ScheduledJob &job)
+void enqueueIfRunnable(SchedulerState &state, const ScheduledJob &job)
 {
     if (!job.runnable || job.queued.empty() || isQueued(state.queue, job.number)) {
         return;
@@ -67,7 +67,7 @@
     return job.requirement * 2 + (job.isLong ? 1 : 0);
 }
 
-ScheduledJob describeJob(SchedulerState &state, const JobDemand &demand, Common::Moment now)
+ScheduledJob createJob(SchedulerState &state, const JobDemand &demand, Common::Moment now)
 {
     const ServiceSettings settings = settingsOf(state, demand.service);
     const std::int64_t declaredMs =
@@ -75,15 +75,16 @@
     ScheduledJob job;
     job.demand = demand;
     job.number = state.nextNumber++;
-    job.profile = findProfile(state.estimates, demand.service, declaredMs);
-    job.requirement = useRequirement(state.pool, demand.service,
-                                     demand.resources.value_or(settings.resources), now.steadyMs);
-    job.team = findTeam(state.queue, demand.team);
-    job.caller = findCaller(state.queue, job.team, demand.caller);
+    job.profile = findOrAddProfile(state.estimates, demand.service, declaredMs);
+    job.requirement =
+            acquireRequirement(state.pool, demand.service,
+                               demand.resources.value_or(settings.resources), now.steadyMs);
+    job.team = findOrAddTeam(state.queue, demand.team);
+    job.caller = findOrAddCaller(state.queue, job.team, demand.caller);
     job.admittedMs = now.steadyMs;
     const double runMs = meanRunMs(state.estimates, job.profile);
-    const SpeedStep whole = wholeCapacity(state.pool, job.requirement, now.steadyMs);
-    const double allMs = whole.capacity > 0 ? runMs * demand.taskCount / whole.capacity : 0;
+    const SpeedStep total = totalCapacity(state.pool, job.requirement, now.steadyMs);
+    const double allMs = total.capacity > 0 ? runMs * demand.taskCount / total.capacity : 0;
     job.idealMs = std::max(runMs, allMs);
     job.isLong = runMs >= LongTaskMs;
     job.lastStartMs = lastStartOf(state, job, now);
@@ -95,7 +96,7 @@
     releaseRequirement(state.pool, job.requirement);
 }
 
-void enterJob(SchedulerState &state, ScheduledJob job, std::vector<int> queued)
+void addScheduledJob(SchedulerState &state, ScheduledJob job, std::vector<int> queued)
 {
     std::sort(queued.rbegin(), queued.rend());
     job.queued = std::move(queued);
@@ -112,7 +113,7 @@
     return number == state.numbers.end() ? nullptr : &state.jobs.at(number->second);
 }
 
-void releaseJob(SchedulerState &state, ScheduledJob &job)
+void makeJobRunnable(SchedulerState &state, ScheduledJob &job)
 {
     if (job.runnable) {
         return;
@@ -121,7 +122,7 @@
     countTasks(state, job, -tasks);
     job.runnable = true;
     countTasks(state, job, tasks);
-    offerTasks(state, job);
+    enqueueIfRunnable(state, job);
 }
 
 int takeTask(SchedulerState &state, ScheduledJob &job)
@@ -135,39 +136,39 @@
     return index;
 }
 
-void holdDelayed(SchedulerState &state, ScheduledJob &job)
+void addDelayed(SchedulerState &state, ScheduledJob &job)
 {
     job.delayed += 1;
     countTasks(state, job, 1);
 }
 
-void takeDelayed(SchedulerState &state, ScheduledJob &job)
+void removeDelayed(SchedulerState &state, ScheduledJob &job)
 {
     job.delayed -= 1;
     countTasks(state, job, -1);
 }
 
-void offerAgain(SchedulerState &state, ScheduledJob &job, int index)
+void requeueTask(SchedulerState &state, ScheduledJob &job, int index)
 {
     job.delayed -= 1;
     job.queued.push_back(index);
-    offerTasks(state, job);
+    enqueueIfRunnable(state, job);
 }
 
 void delayTask(SchedulerState &state, ScheduledJob &job, int index, std::int64_t readyMs)
 {
-    holdDelayed(state, job);
+    addDelayed(state, job);
     state.delayed.insert({readyMs, {job.number, index}});
 }
 
-void releaseDelayed(SchedulerState &state, std::int64_t nowMs)
+void requeueDelayed(SchedulerState &state, std::int64_t nowMs)
 {
     while (!state.delayed.empty() && state.delayed.begin()->first <= nowMs) {
         const auto [number, index] = state.delayed.begin()->second;
         state.delayed.erase(state.delayed.begin());
         const auto found = state.jobs.find(number);
         if (found != state.jobs.end()) {
-            offerAgain(state, found->second, index);
+            requeueTask(state, found->second, index);
         }
     }
 }
--- a/Source/Core/Dispatch/Scheduling/JobBook.h
+++ b/Source/Core/Dispatch/Scheduling/ScheduledJobs.h
@@ -12,17 +12,17 @@
 namespace Dispatch {
 
 /// The demand with what its service's settings add, profiled and numbered; not yet entered.
-ScheduledJob describeJob(SchedulerState &state, const JobDemand &demand, Common::Moment now);
+ScheduledJob createJob(SchedulerState &state, const JobDemand &demand, Common::Moment now);
 
-/// Gives back what describeJob() took for a job that is refused.
+/// Gives back what createJob() took for a job that is refused.
 void discardJob(SchedulerState &state, const ScheduledJob &job);
 
 /// Enters the job with \a queued as its waiting tasks.
-void enterJob(SchedulerState &state, ScheduledJob job, std::vector<int> queued);
+void addScheduledJob(SchedulerState &state, ScheduledJob job, std::vector<int> queued);
 
 ScheduledJob *findJob(SchedulerState &state, const std::string &id);
 
-void releaseJob(SchedulerState &state, ScheduledJob &job);
+void makeJobRunnable(SchedulerState &state, ScheduledJob &job);
 
 /// Takes the job's next task out of the queue.
 int takeTask(SchedulerState &state, ScheduledJob &job);
@@ -30,12 +30,12 @@
 /// Puts a task back that had been taken, at the front of its job, once \a readyMs has come.
 void delayTask(SchedulerState &state, ScheduledJob &job, int index, std::int64_t readyMs);
 /// Counts a task that was taken as waiting elsewhere than in its job's queue.
-void holdDelayed(SchedulerState &state, ScheduledJob &job);
-/// Undoes holdDelayed().
-void takeDelayed(SchedulerState &state, ScheduledJob &job);
-/// Undoes holdDelayed() and puts the task back at the front of its job.
-void offerAgain(SchedulerState &state, ScheduledJob &job, int index);
-void releaseDelayed(SchedulerState &state, std::int64_t nowMs);
+void addDelayed(SchedulerState &state, ScheduledJob &job);
+/// Undoes addDelayed().
+void removeDelayed(SchedulerState &state, ScheduledJob &job);
+/// Undoes addDelayed() and puts the task back at the front of its job.
+void requeueTask(SchedulerState &state, ScheduledJob &job, int index);
+void requeueDelayed(SchedulerState &state, std::int64_t nowMs);
 
 /// Takes the job out with all its waiting tasks.
 void removeJob(SchedulerState &state, JobNumber number);
--- a/Source/Core/Dispatch/Scheduling/Scheduler.cpp
+++ b/Source/Core/Dispatch/Scheduling/Scheduler.cpp
@@ -5,7 +5,7 @@
 #include <numeric>
 
 #include "Dispatch/Scheduling/Capacity.h"
-#include "Dispatch/Scheduling/JobBook.h"
+#include "Dispatch/Scheduling/ScheduledJobs.h"
 
 namespace Dispatch {
 namespace {
@@ -29,7 +29,7 @@
 
 /// This gateway's part of a quota that holds for the region. At least one task, so that no team is
 /// shut out: with a quota below the number of gateways, one task for each gateway may run.
-std::int64_t ownQuota(const SchedulerState &state, const Schema::Team &team)
+std::int64_t quotaShare(const SchedulerState &state, const Schema::Team &team)
 {
     const std::int64_t quota = team.quota.value_or(0);
     return quota == 0 ? 0 : std::max<std::int64_t>(1, quota / state.gateways);
@@ -38,9 +38,9 @@
 void applyTeams(SchedulerState &state)
 {
     for (const auto &entry : state.teams) {
-        const TeamId id = findTeam(state.queue, entry.first);
+        const TeamId id = findOrAddTeam(state.queue, entry.first);
         const auto weight = static_cast<double>(entry.second.weight.value_or(1));
-        setTeam(state.queue, id, weight, ownQuota(state, entry.second));
+        setTeam(state.queue, id, weight, quotaShare(state, entry.second));
     }
 }
 
@@ -74,12 +74,12 @@
              queueing == Schema::QueueingPolicy::Fifo ? QueueOrder::Arrival : QueueOrder::Fair);
 }
 
-std::int64_t freePlaces(const BackendPool &pool, RequirementId id, std::int64_t enough)
+std::int64_t freeSlots(const BackendPool &pool, RequirementId id, std::int64_t enough)
 {
     std::int64_t places = 0;
     for (const BackendIndex index : pool.requirements[id].free) {
         const BackendRecord &backend = pool.backends[index];
-        places += placesOf(backend) - backend.inFlight;
+        places += concurrencyLimit(backend) - backend.inFlight;
         if (places >= enough) {
             break;
         }
@@ -87,13 +87,13 @@
     return places;
 }
 
-double leftByOthers(const SchedulerState &state, const CallerQueue &caller, std::int64_t nowMs)
+double unusedByOthers(const SchedulerState &state, const CallerQueue &caller, std::int64_t nowMs)
 {
-    if (state.pool.whole.capacity <= 0) {
+    if (state.pool.total.capacity <= 0) {
         return 1;
     }
     const double others = workPerMs(state.admitted, nowMs) - workPerMs(caller.admitted, nowMs);
-    return 1 - others / state.pool.whole.capacity;
+    return 1 - others / state.pool.total.capacity;
 }
 
 Backlog backlogFor(SchedulerState &state, const ScheduledJob &job, Common::Moment now)
@@ -106,11 +106,11 @@
     backlog.callerTasks = caller.queuedTasks;
     backlog.callerWorkMs = workMs(caller.queuedWork, state.estimates);
     backlog.teamWorkMs = workMs(team.queuedWork, state.estimates);
-    backlog.capacity = wholeCapacity(state.pool, job.requirement, now.steadyMs).capacity;
-    backlog.freePlaces = freePlaces(state.pool, job.requirement, job.demand.taskCount);
+    backlog.capacity = totalCapacity(state.pool, job.requirement, now.steadyMs).capacity;
+    backlog.freeSlots = freeSlots(state.pool, job.requirement, job.demand.taskCount);
     backlog.teamQuota = team.quota;
     backlog.fairShare = fairShare(state.queue, job.caller);
-    backlog.leftByOthers = leftByOthers(state, caller, now.steadyMs);
+    backlog.unusedByOthers = unusedByOthers(state, caller, now.steadyMs);
     if (state.queue.order == QueueOrder::Arrival) {
         backlog.callerWorkMs = backlog.queuedWorkMs;
         backlog.fairShare = 1;
@@ -121,14 +121,14 @@
 /// The quantile that all of \a tasks stay under in half of the cases.
 double slowestQuantile(int tasks)
 {
-    constexpr double MostQuantile = 0.95;
-    return std::min(std::pow(0.5, 1.0 / std::max(tasks, 1)), MostQuantile);
+    constexpr double MaxQuantile = 0.95;
+    return std::min(std::pow(0.5, 1.0 / std::max(tasks, 1)), MaxQuantile);
 }
 
 AdmissionQuery queryFor(SchedulerState &state, const ScheduledJob &job, Common::Moment now)
 {
-    const SpeedStep whole = wholeCapacity(state.pool, job.requirement, now.steadyMs);
-    const double factor = whole.capacity > 0 ? whole.slots / whole.capacity : 1;
+    const SpeedStep total = totalCapacity(state.pool, job.requirement, now.steadyMs);
+    const double factor = total.capacity > 0 ? total.slots / total.capacity : 1;
     const double runMs = admissionRunMs(state.estimates, job.profile);
     AdmissionQuery query;
     query.tasks = job.demand.taskCount;
@@ -139,13 +139,13 @@
                                            * runQuantileMs(state.estimates, job.profile,
                                                            slowestQuantile(job.demand.taskCount));
     query.timeLeftMs = job.demand.deadlineMs - now.wallMs;
-    query.spread = Common::hash64(job.demand.id);
+    query.jitterSeed = Common::hash64(job.demand.id);
     return query;
 }
 
 std::int64_t drainTimeMs(const SchedulerState &state)
 {
-    const double capacity = std::max(state.pool.whole.capacity, 1.0);
+    const double capacity = std::max(state.pool.total.capacity, 1.0);
     const double drain = workMs(state.queuedWork, state.estimates) / capacity;
     return std::clamp(static_cast<std::int64_t>(drain), MinRetryAfterMs, MaxRetryAfterMs);
 }
@@ -173,16 +173,16 @@
 bool isNeverRunnable(const SchedulerState &state, const ScheduledJob &job, std::int64_t nowMs)
 {
     const Requirement &requirement = state.pool.requirements[job.requirement];
-    const std::int64_t sinceMs = std::max(requirement.unableSinceMs, job.admittedMs);
-    return job.started == 0 && requirement.ableCount == 0
+    const std::int64_t sinceMs = std::max(requirement.ineligibleSinceMs, job.admittedMs);
+    return job.started == 0 && requirement.eligibleCount == 0
            && nowMs - sinceMs >= state.limits.neverRunnableGraceMs;
 }
 
-bool anyUnable(const BackendPool &pool)
+bool anyWithoutEligibleBackend(const BackendPool &pool)
 {
     return std::any_of(pool.requirements.begin(), pool.requirements.end(),
                        [](const Requirement &requirement) {
-                           return requirement.users > 0 && requirement.ableCount == 0;
+                           return requirement.users > 0 && requirement.eligibleCount == 0;
                        });
 }
 
@@ -190,7 +190,7 @@
                          std::vector<ExpiredJob> &expired)
 {
     const bool due = now.steadyMs - state.neverRunnableCheckedMs >= NeverRunnablePeriodMs;
-    if (!due || !anyUnable(state.pool)) {
+    if (!due || !anyWithoutEligibleBackend(state.pool)) {
         return;
     }
     state.neverRunnableCheckedMs = now.steadyMs;
@@ -211,8 +211,8 @@
 
 } // namespace
 
-void schedulerConfigured(SchedulerState &state, const Schema::Configuration &configuration,
-                         Common::Moment now)
+void configureScheduler(SchedulerState &state, const Schema::Configuration &configuration,
+                        Common::Moment now)
 {
     state.services.clear();
     for (const Schema::Service &service : configuration.services) {
@@ -228,7 +228,7 @@
     setDrains(state.pool, configuration.drains, now.steadyMs);
 }
 
-void gatewaysCounted(SchedulerState &state, int gateways)
+void setGatewayCount(SchedulerState &state, int gateways)
 {
     state.gateways = std::max(gateways, 1);
     applyTeams(state);
@@ -240,17 +240,17 @@
     if (auto unknown = refuseUnknown(state, demand)) {
         return unknown;
     }
-    ScheduledJob job = describeJob(state, demand, now);
+    ScheduledJob job = createJob(state, demand, now);
     const AdmissionQuery query = queryFor(state, job, now);
     if (auto refused = decideAdmission(state.limits, backlogFor(state, job, now), query)) {
         discardJob(state, job);
         return refused;
     }
-    countWork(state.admitted, query.workMs, now.steadyMs);
-    countWork(state.queue.callers[job.caller].admitted, query.workMs, now.steadyMs);
+    addWork(state.admitted, query.workMs, now.steadyMs);
+    addWork(state.queue.callers[job.caller].admitted, query.workMs, now.steadyMs);
     std::vector<int> tasks(static_cast<std::size_t>(demand.taskCount));
     std::iota(tasks.begin(), tasks.end(), 0);
-    enterJob(state, std::move(job), std::move(tasks));
+    addScheduledJob(state, std::move(job), std::move(tasks));
     return std::nullopt;
 }
 
@@ -258,15 +258,15 @@
                 Common::Moment now)
 {
     Common::invariant(findJob(state, demand.id) == nullptr, "a job is restored once", demand.id);
-    ScheduledJob job = describeJob(state, demand, now);
+    ScheduledJob job = createJob(state, demand, now);
     job.started = demand.taskCount - static_cast<std::int64_t>(queued.size());
-    enterJob(state, std::move(job), queued);
+    addScheduledJob(state, std::move(job), queued);
 }
 
-void jobRunnable(SchedulerState &state, const std::string &id, Common::Moment /*now*/)
+void setJobRunnable(SchedulerState &state, const std::string &id, Common::Moment /*now*/)
 {
     if (ScheduledJob *job = findJob(state, id)) {
-        releaseJob(state, *job);
+        makeJobRunnable(state, *job);
     }
 }
 
--- a/Source/Core/Dispatch/Scheduling/Scheduler.h
+++ b/Source/Core/Dispatch/Scheduling/Scheduler.h
@@ -15,25 +15,25 @@
 /// until a slot is free (late binding), so that a slow or dead backend server holds up no task that
 /// has not been sent to it.
 ///
-/// The life of a task: admitJob() holds it, jobRunnable() lets it be placed, assignTasks() counts
-/// it in flight at an agent until taskEnded() or taskNotStarted() is called for it; agentLost()
-/// alone does not end it.
+/// The life of a task: admitJob() holds it, setJobRunnable() lets it be placed, assignTasks()
+/// counts it in flight at an agent until taskEnded() or taskNotStarted() is called for it;
+/// agentLost() alone does not end it.
 namespace Dispatch {
 
 /// Takes services, teams, policy and drains over; queued jobs stay queued.
-void schedulerConfigured(SchedulerState &state, const Schema::Configuration &configuration,
-                         Common::Moment now);
+void configureScheduler(SchedulerState &state, const Schema::Configuration &configuration,
+                        Common::Moment now);
 
 /// Gateways of the region that serve at present, this one included: each enforces its part of a
 /// team's quota.
-void gatewaysCounted(SchedulerState &state, int gateways);
+void setGatewayCount(SchedulerState &state, int gateways);
 
-/// Refuses the whole job, or holds its tasks until jobRunnable(). A job id that is already held is
-/// a broken invariant.
+/// Refuses the whole job, or holds its tasks until setJobRunnable(). A job id that is already held
+/// is a broken invariant.
 std::optional<Refusal> admitJob(SchedulerState &state, const JobDemand &demand, Common::Moment now);
 
 /// Takes over a job that another owner admitted; \a queued are the tasks that still have to be
-/// placed. It is held until jobRunnable().
+/// placed. It is held until setJobRunnable().
 void restoreJob(SchedulerState &state, const JobDemand &demand, const std::vector<int> &queued,
                 Common::Moment now);
 
@@ -42,7 +42,7 @@
                  Common::Moment now);
 
 /// The job's intent is durable: its tasks may be placed from now on.
-void jobRunnable(SchedulerState &state, const std::string &job, Common::Moment now);
+void setJobRunnable(SchedulerState &state, const std::string &job, Common::Moment now);
 
 /// Tasks that go to agents now, at most \a limit. Each is counted in flight.
 std::vector<Assignment> assignTasks(SchedulerState &state, Common::Moment now,
@@ -68,11 +68,11 @@
 void dropJob(SchedulerState &state, const std::string &job);
 
 /// First frame and heartbeats of an agent.
-void agentHeard(SchedulerState &state, const Schema::AgentHello &hello, Common::Moment now);
+void agentHelloReceived(SchedulerState &state, const Schema::AgentHello &hello, Common::Moment now);
 
 /// Window and load from any other frame of the agent.
-void agentWindow(SchedulerState &state, const std::string &instance, std::int64_t window,
-                 std::int64_t running, Common::Moment now);
+void agentWindowReceived(SchedulerState &state, const std::string &instance, std::int64_t window,
+                         std::int64_t running, Common::Moment now);
 
 /// The agent has left or its connection is gone: it gets nothing until it is heard again.
 void agentLost(SchedulerState &state, const std::string &instance, Common::Moment now);
--- a/Source/Core/Dispatch/Scheduling/SchedulerState.h
+++ b/Source/Core/Dispatch/Scheduling/SchedulerState.h
@@ -126,7 +126,7 @@
     QueuedWork queuedWork;
     std::int64_t stalledCheckedMs = 0;
     std::int64_t neverRunnableCheckedMs = 0;
-    std::int64_t callersForgottenMs = 0;
+    std::int64_t idleCallersRemovedMs = 0;
 };
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/SchedulerTasks.cpp
+++ b/Source/Core/Dispatch/Scheduling/SchedulerTasks.cpp
@@ -1,18 +1,18 @@
 #include <algorithm>
 
-#include "Dispatch/Scheduling/BackendCare.h"
+#include "Dispatch/Scheduling/BackendMonitor.h"
 #include "Dispatch/Scheduling/EarlyBinding.h"
-#include "Dispatch/Scheduling/Flight.h"
-#include "Dispatch/Scheduling/JobBook.h"
 #include "Dispatch/Scheduling/Placement.h"
+#include "Dispatch/Scheduling/ScheduledJobs.h"
 #include "Dispatch/Scheduling/Scheduler.h"
+#include "Dispatch/Scheduling/TasksInFlight.h"
 
 namespace Dispatch {
 namespace {
 
 /// A caller's credit delays the others by no more than this: the shortest common task.
 constexpr double BurstCreditMs = 50;
-constexpr std::int64_t ForgetCallersPeriodMs = 10000;
+constexpr std::int64_t RemoveIdleCallersPeriodMs = 10000;
 
 /// Blocks the lanes for which nothing is free. False where no lane with jobs is left.
 bool blockFullLanes(const SchedulerState &state, Blocked &blocked)
@@ -22,8 +22,8 @@
     bool open = false;
     for (LaneId lane = 0; lane < laneJobs.size(); ++lane) {
         const Requirement &requirement = state.pool.requirements[lane / 2];
-        const bool full =
-                bindsEarly(state.placement) ? requirement.ableCount == 0 : requirement.free.empty();
+        const bool full = bindsEarly(state.placement) ? requirement.eligibleCount == 0
+                                                      : requirement.free.empty();
         blocked.lanes[lane] = laneJobs[lane] == 0 || full;
         open = open || !blocked.lanes[lane];
     }
@@ -44,7 +44,7 @@
 bool reservedForShort(const SchedulerState &state, const ScheduledJob &job, Common::Moment now)
 {
     return job.isLong && state.switches.slotReserve && state.queue.order == QueueOrder::Fair
-           && longTasksBlocked(state.reserve, state.pool.whole.slots, now.steadyMs);
+           && longTasksBlocked(state.reserve, state.pool.total.slots, now.steadyMs);
 }
 
 /// Starts the job's next task, or blocks what cannot be placed now.
@@ -82,12 +82,12 @@
 {
     state.pool.silenceMs = state.agentSilenceMs;
     sweepBackends(state.pool, now.steadyMs);
-    state.queue.burstCredit = BurstCreditMs * state.pool.whole.capacity;
+    state.queue.burstCredit = BurstCreditMs * state.pool.total.capacity;
     checkStalled(state, now.steadyMs);
-    releaseDelayed(state, now.steadyMs);
-    if (now.steadyMs - state.callersForgottenMs >= ForgetCallersPeriodMs) {
-        state.callersForgottenMs = now.steadyMs;
-        forgetIdleCallers(state.queue);
+    requeueDelayed(state, now.steadyMs);
+    if (now.steadyMs - state.idleCallersRemovedMs >= RemoveIdleCallersPeriodMs) {
+        state.idleCallersRemovedMs = now.steadyMs;
+        removeIdleCallers(state.queue);
     }
 }
 
@@ -128,7 +128,7 @@
         || state.inFlight.count(task) > 0) {
         return;
     }
-    enterFlight(state, *job, task.index, backend->second, now);
+    addInFlight(state, *job, task.index, backend->second, now);
     // restoreJob() has counted it as started.
     job->started -= 1;
 }
@@ -136,30 +136,30 @@
 bool taskEnded(SchedulerState &state, const TaskKey &key, const std::string &agent, bool succeeded,
                double runMs, Common::Moment now)
 {
-    const std::optional<TaskInFlight> task = leaveFlight(state, key, agent, now);
+    const std::optional<TaskInFlight> task = removeInFlight(state, key, agent, now);
     if (!task) {
         return false;
     }
     chargeEnd(state.queue, task->caller, runMs > 0 ? runMs - task->chargedMs : 0);
     BackendRecord &backend = state.pool.backends[task->backend];
-    const bool forgotten = backend.instance != agent;
-    if (forgotten) {
+    const bool removed = backend.instance != agent;
+    if (removed) {
         return true;
     }
     if (succeeded) {
-        backend.refusalsInRow = 0;
+        backend.consecutiveRefusals = 0;
     }
     if (succeeded && runMs > 0) {
-        learnRun(state.estimates, task->profile, backend.speed, runMs);
+        recordRunTime(state.estimates, task->profile, backend.speed, runMs);
     }
-    judgeBackend(state, *task, succeeded, runMs, now);
+    updateBackendHealth(state, *task, succeeded, runMs, now);
     return true;
 }
 
 bool taskAbandoned(SchedulerState &state, const TaskKey &key, const std::string &agent,
                    Common::Moment now)
 {
-    const std::optional<TaskInFlight> task = leaveFlight(state, key, agent, now);
+    const std::optional<TaskInFlight> task = removeInFlight(state, key, agent, now);
     if (!task) {
         return false;
     }
@@ -170,14 +170,14 @@
 RetryDecision taskNotStarted(SchedulerState &state, const TaskKey &key, const std::string &agent,
                              Schema::Reason reason, Common::Moment now, Common::Random &random)
 {
-    const std::optional<TaskInFlight> task = leaveFlight(state, key, agent, now);
+    const std::optional<TaskInFlight> task = removeInFlight(state, key, agent, now);
     if (!task) {
         return RetryDecision::Ignored;
     }
     chargeEnd(state.queue, task->caller, -task->chargedMs);
     const bool known = state.pool.backends[task->backend].instance == agent;
     if (known && state.switches.retryBudget) {
-        startRefused(state.pool, task->backend, reason, now.steadyMs);
+        handleStartRefused(state.pool, task->backend, reason, now.steadyMs);
     }
     ScheduledJob *job = findJob(state, key.job);
     if (job == nullptr) {
@@ -191,20 +191,20 @@
         return RetryDecision::Requeued;
     }
     if (attempt >= MaxStartAttempts) {
-        return RetryDecision::GivenUp;
+        return RetryDecision::AttemptsExhausted;
     }
     const std::int64_t backoffMs = spendRetry(state.retries, attempt, random);
     delayTask(state, *job, key.index, now.steadyMs + backoffMs);
     return RetryDecision::Requeued;
 }
 
-void agentHeard(SchedulerState &state, const Schema::AgentHello &hello, Common::Moment now)
+void agentHelloReceived(SchedulerState &state, const Schema::AgentHello &hello, Common::Moment now)
 {
-    backendHeard(state.pool, hello, now.steadyMs);
+    updateBackend(state.pool, hello, now.steadyMs);
 }
 
-void agentWindow(SchedulerState &state, const std::string &instance, std::int64_t window,
-                 std::int64_t running, Common::Moment now)
+void agentWindowReceived(SchedulerState &state, const std::string &instance, std::int64_t window,
+                         std::int64_t running, Common::Moment now)
 {
     const auto found = state.pool.byInstance.find(instance);
     if (found == state.pool.byInstance.end()) {
@@ -213,15 +213,15 @@
     BackendRecord &backend = state.pool.backends[found->second];
     backend.window = window;
     backend.reportedRunning = running;
-    backend.heardMs = now.steadyMs;
-    refreshBackend(state.pool, found->second, now.steadyMs);
+    backend.lastReceivedMs = now.steadyMs;
+    updateFreeLists(state.pool, found->second, now.steadyMs);
 }
 
 void agentLost(SchedulerState &state, const std::string &instance, Common::Moment now)
 {
     const auto found = state.pool.byInstance.find(instance);
     if (found != state.pool.byInstance.end()) {
-        backendLost(state.pool, found->second, now.steadyMs);
+        markBackendLost(state.pool, found->second, now.steadyMs);
     }
 }
 
--- a/Source/Core/Dispatch/Scheduling/SchedulerTypes.h
+++ b/Source/Core/Dispatch/Scheduling/SchedulerTypes.h
@@ -65,7 +65,7 @@
     /// Waits for another agent.
     Requeued,
     /// Its attempts are used up: it will not be assigned again.
-    GivenUp,
+    AttemptsExhausted,
     /// Not known as in flight at that agent, or its job is gone.
     Ignored
 };
--- a/Source/Core/Dispatch/Scheduling/SlotReserve.cpp
+++ b/Source/Core/Dispatch/Scheduling/SlotReserve.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void reserveStarted(SlotReserve &reserve, bool isLong, std::int64_t nowMs)
+void recordTaskStarted(SlotReserve &reserve, bool isLong, std::int64_t nowMs)
 {
     if (isLong) {
         reserve.longInFlight += 1;
@@ -32,7 +32,7 @@
     reserve.peakAtMs = nowMs;
 }
 
-void reserveEnded(SlotReserve &reserve, bool isLong)
+void recordTaskEnded(SlotReserve &reserve, bool isLong)
 {
     (isLong ? reserve.longInFlight : reserve.shortInFlight) -= 1;
 }
--- a/Source/Core/Dispatch/Scheduling/SlotReserve.h
+++ b/Source/Core/Dispatch/Scheduling/SlotReserve.h
@@ -24,8 +24,8 @@
     std::int64_t peakAtMs = 0;
 };
 
-void reserveStarted(SlotReserve &reserve, bool isLong, std::int64_t nowMs);
-void reserveEnded(SlotReserve &reserve, bool isLong);
+void recordTaskStarted(SlotReserve &reserve, bool isLong, std::int64_t nowMs);
+void recordTaskEnded(SlotReserve &reserve, bool isLong);
 
 /// One more long task would take a slot from the reserve.
 bool longTasksBlocked(const SlotReserve &reserve, double slots, std::int64_t nowMs);
--- a/Source/Core/Dispatch/Scheduling/Flight.cpp
+++ b/Source/Core/Dispatch/Scheduling/TasksInFlight.cpp
@@ -1,8 +1,8 @@
-#include "Dispatch/Scheduling/Flight.h"
+#include "Dispatch/Scheduling/TasksInFlight.h"
 
 namespace Dispatch {
 
-void enterFlight(SchedulerState &state, ScheduledJob &job, int index, BackendIndex backend,
+void addInFlight(SchedulerState &state, ScheduledJob &job, int index, BackendIndex backend,
                  Common::Moment now)
 {
     const Requirement &requirement = state.pool.requirements[job.requirement];
@@ -18,9 +18,9 @@
     task.workMs = runMs;
     task.chargedMs = runMs * speedFactor(state.pool.backends[backend].speed);
     task.sinceMs = now.steadyMs;
-    occupy(state.pool, backend, requirement, task.workMs, now.steadyMs);
+    occupySlot(state.pool, backend, requirement, task.workMs, now.steadyMs);
     chargeStart(state.queue, job.caller, task.chargedMs);
-    reserveStarted(state.reserve, job.isLong, now.steadyMs);
+    recordTaskStarted(state.reserve, job.isLong, now.steadyMs);
     job.started += 1;
     state.inFlight.emplace(TaskKey{job.demand.id, index}, std::move(task));
 }
@@ -28,13 +28,13 @@
 Assignment startTask(SchedulerState &state, ScheduledJob &job, int index, BackendIndex backend,
                      Common::Moment now)
 {
-    enterFlight(state, job, index, backend, now);
-    startCounted(state.retries);
+    addInFlight(state, job, index, backend, now);
+    earnRetryTokens(state.retries);
     return {{job.demand.id, index}, state.pool.backends[backend].instance};
 }
 
-std::optional<TaskInFlight> leaveFlight(SchedulerState &state, const TaskKey &key,
-                                        const std::string &agent, Common::Moment now)
+std::optional<TaskInFlight> removeInFlight(SchedulerState &state, const TaskKey &key,
+                                           const std::string &agent, Common::Moment now)
 {
     const auto found = state.inFlight.find(key);
     if (found == state.inFlight.end() || found->second.agent != agent) {
@@ -42,8 +42,8 @@
     }
     TaskInFlight task = std::move(found->second);
     state.inFlight.erase(found);
-    vacate(state.pool, task.backend, task.resources, task.workMs, now.steadyMs);
-    reserveEnded(state.reserve, task.isLong);
+    vacateSlot(state.pool, task.backend, task.resources, task.workMs, now.steadyMs);
+    recordTaskEnded(state.reserve, task.isLong);
     return task;
 }
 
--- a/Source/Core/Dispatch/Scheduling/Flight.h
+++ b/Source/Core/Dispatch/Scheduling/TasksInFlight.h
@@ -10,15 +10,15 @@
 namespace Dispatch {
 
 /// Counts a task of \a job, which waits no more, in flight at \a backend.
-void enterFlight(SchedulerState &state, ScheduledJob &job, int index, BackendIndex backend,
+void addInFlight(SchedulerState &state, ScheduledJob &job, int index, BackendIndex backend,
                  Common::Moment now);
 
-/// As enterFlight(), for a task that is sent now.
+/// As addInFlight(), for a task that is sent now.
 Assignment startTask(SchedulerState &state, ScheduledJob &job, int index, BackendIndex backend,
                      Common::Moment now);
 
 /// Takes the task out of those in flight, where it is at \a agent.
-std::optional<TaskInFlight> leaveFlight(SchedulerState &state, const TaskKey &key,
-                                        const std::string &agent, Common::Moment now);
+std::optional<TaskInFlight> removeInFlight(SchedulerState &state, const TaskKey &key,
+                                           const std::string &agent, Common::Moment now);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/WorkRate.h
+++ b/Source/Core/Dispatch/Scheduling/WorkRate.h
@@ -13,19 +13,19 @@
 };
 
 /// Long enough to see through a pause between two jobs, short against a deadline of 30 s.
-constexpr double RateMemoryMs = 2000;
+constexpr double RateTimeConstantMs = 2000;
 
-inline void countWork(WorkRate &rate, double workMs, std::int64_t nowMs)
+inline void addWork(WorkRate &rate, double workMs, std::int64_t nowMs)
 {
     const auto age = static_cast<double>(nowMs - rate.atMs);
-    rate.workMs = rate.workMs * std::exp(-age / RateMemoryMs) + workMs;
+    rate.workMs = rate.workMs * std::exp(-age / RateTimeConstantMs) + workMs;
     rate.atMs = nowMs;
 }
 
 inline double workPerMs(const WorkRate &rate, std::int64_t nowMs)
 {
     const auto age = static_cast<double>(nowMs - rate.atMs);
-    return rate.workMs * std::exp(-age / RateMemoryMs) / RateMemoryMs;
+    return rate.workMs * std::exp(-age / RateTimeConstantMs) / RateTimeConstantMs;
 }
 
 } // namespace Dispatch
--- a/Source/Core/Transient/Admit.cpp
+++ b/Source/Core/Transient/Admit.cpp
@@ -40,8 +40,8 @@
             former == state.formerAttempts.end() ? 0 : former->second.highest;
     for (StepRequest &request : submission.request.steps) {
         StepRecord step;
-        step.profile =
-                Dispatch::findProfile(state.fleet.estimates, job.queue.name, request.expectedRunMs);
+        step.profile = Dispatch::findOrAddProfile(state.fleet.estimates, job.queue.name,
+                                                  request.expectedRunMs);
         step.tasks.resize(static_cast<std::size_t>(request.taskCount));
         for (TaskRecord &task : step.tasks) {
             task.attempt = formerAttempts;
--- a/Source/Core/Transient/Fleet.cpp
+++ b/Source/Core/Transient/Fleet.cpp
@@ -88,16 +88,16 @@
               const RunOutcome &outcome, std::int64_t nowMs)
 {
     if (outcome.succeeded && outcome.runMs > 0) {
-        Dispatch::learnRun(fleet.estimates, profile, agent.speed,
-                           static_cast<double>(outcome.runMs));
+        Dispatch::recordRunTime(fleet.estimates, profile, agent.speed,
+                                static_cast<double>(outcome.runMs));
         if (!fleet.decisions.learnsSpeeds) {
             agent.speed = {};
         }
     }
     const bool isFast = static_cast<double>(outcome.runMs) < outcome.expectedMs * FastShare;
-    const bool isBad = Dispatch::outcomeObserved(agent.health, {outcome.succeeded, isFast});
+    const bool isBad = Dispatch::recordOutcome(agent.health, {outcome.succeeded, isFast});
     if (!isBad || !fleet.decisions.ejects
-        || countEjected(fleet) >= Dispatch::mostEjected(fleet.agents.size())) {
+        || countEjected(fleet) >= Dispatch::maxEjected(fleet.agents.size())) {
         return false;
     }
     Dispatch::eject(agent.health, nowMs);
@@ -107,7 +107,7 @@
 void advanceFleet(Fleet &fleet, std::int64_t nowMs)
 {
     for (auto &[name, agent] : fleet.agents) {
-        Dispatch::advanceHealth(agent.health, nowMs);
+        Dispatch::startTrialIfDue(agent.health, nowMs);
     }
 }
 
--- a/Source/Core/Transient/Learned.cpp
+++ b/Source/Core/Transient/Learned.cpp
@@ -39,7 +39,7 @@
     Schema::LearnedTimes learned;
     learned.gateway = gateway;
     learned.writtenMs = now.wallMs;
-    for (const Dispatch::RecalledProfile &profile : Dispatch::learnedProfiles(fleet.estimates)) {
+    for (const Dispatch::ProfileSummary &profile : Dispatch::learnedProfiles(fleet.estimates)) {
         learned.profiles.push_back({profile.key, profile.meanLog, profile.meanMs, profile.samples});
     }
     for (const auto &[name, agent] : fleet.agents) {
@@ -64,7 +64,7 @@
         }
     }
     for (const Schema::LearnedProfile &profile : learned.profiles) {
-        Dispatch::recallProfile(fleet.estimates,
+        Dispatch::importProfile(fleet.estimates,
                                 {profile.key, profile.meanMs, profile.meanLog, profile.samples});
     }
     for (const Schema::LearnedSpeed &speed : learned.speeds) {
@@ -81,7 +81,7 @@
     if (found == fleet.remembered.end() || found->second.labels != agent.announced.labels) {
         return;
     }
-    Dispatch::recallSpeed(agent.speed, {found->second.logFactor, found->second.samples});
+    Dispatch::importSpeed(agent.speed, {found->second.logFactor, found->second.samples});
 }
 
 LearnedSchedule scheduleLearned(const Fleet &fleet, Common::Moment now)
--- a/Source/UnitTests/Dispatch/Scheduling/IdleRequirementTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/IdleRequirementTest.cpp
@@ -40,10 +40,11 @@
     for (const Row &row : rows) {
         CAPTURE(row.name);
         Dispatch::BackendPool pool;
-        Dispatch::backendHeard(pool, makeHello("tunis-1"), 0);
-        Dispatch::backendHeard(pool, makeHello("bizerte-1"), 0);
+        Dispatch::updateBackend(pool, makeHello("tunis-1"), 0);
+        Dispatch::updateBackend(pool, makeHello("bizerte-1"), 0);
         const Schema::Resources none;
-        const Dispatch::RequirementId id = Dispatch::useRequirement(pool, "breach-alert", none, 0);
+        const Dispatch::RequirementId id =
+                Dispatch::acquireRequirement(pool, "breach-alert", none, 0);
         Dispatch::releaseRequirement(pool, id);
         if (row.drained != nullptr) {
             Schema::Drain drain;
@@ -51,10 +52,10 @@
             Dispatch::setDrains(pool, {drain}, 100);
         }
         if (row.joining != nullptr) {
-            Dispatch::backendHeard(pool, makeHello(row.joining), 100);
+            Dispatch::updateBackend(pool, makeHello(row.joining), 100);
         }
-        REQUIRE(Dispatch::useRequirement(pool, "breach-alert", none, 200) == id);
-        CHECK(pool.requirements[id].ableCount == row.able);
+        REQUIRE(Dispatch::acquireRequirement(pool, "breach-alert", none, 200) == id);
+        CHECK(pool.requirements[id].eligibleCount == row.able);
         CHECK(pool.requirements[id].free.size() == row.able);
     }
 }
--- a/Source/UnitTests/Dispatch/Scheduling/LoadModel.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/LoadModel.cpp
@@ -230,7 +230,7 @@
         return;
     }
     at(world, world.nowMs + JournalMs,
-       [&world, id] { Dispatch::jobRunnable(world.scheduler, id, moment(world)); });
+       [&world, id] { Dispatch::setJobRunnable(world.scheduler, id, moment(world)); });
     at(world, world.nowMs + stream.deadlineMs,
        [&world, id] { answer(world, id, Outcome::Failed, Schema::Reason::DeadlinePassed, 0); });
 }
@@ -270,7 +270,7 @@
     hello.window = backend.slots;
     hello.running = world.running[index];
     hello.healthy = true;
-    Dispatch::agentHeard(world.scheduler, hello, moment(world));
+    Dispatch::agentHelloReceived(world.scheduler, hello, moment(world));
     at(world, world.nowMs + HeartbeatMs, [&world, index] { heartbeat(world, index); });
 }
 
@@ -295,8 +295,7 @@
 
 void prepare(World &world)
 {
-    Dispatch::schedulerConfigured(world.scheduler, configurationOf(world.experiment),
-                                  moment(world));
+    Dispatch::configureScheduler(world.scheduler, configurationOf(world.experiment), moment(world));
     world.scheduler.switches = world.experiment.switches;
     world.scheduler.estimates.trustDeclared = world.experiment.trustDeclared;
     world.scheduler.limits.predictsDeadlines = world.experiment.predictsDeadlines;
--- a/Source/UnitTests/Dispatch/Scheduling/SchedulerCostTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/SchedulerCostTest.cpp
@@ -40,7 +40,7 @@
         configuration.services.back().name = "service-" + std::to_string(service);
     }
     Dispatch::SchedulerState state;
-    Dispatch::schedulerConfigured(state, configuration, {0, WallMs});
+    Dispatch::configureScheduler(state, configuration, {0, WallMs});
     return state;
 }
 
@@ -55,7 +55,7 @@
         hello.backend.connections = 64;
         hello.window = 8;
         hello.healthy = true;
-        Dispatch::agentHeard(state, hello, now);
+        Dispatch::agentHelloReceived(state, hello, now);
     }
 }
 
@@ -83,7 +83,7 @@
             demand.taskCount = TasksPerJob;
             demand.deadlineMs = now.wallMs + 30000;
             CHECK(!Dispatch::admitJob(state, demand, now));
-            Dispatch::jobRunnable(state, demand.id, now);
+            Dispatch::setJobRunnable(state, demand.id, now);
             left[demand.id] = TasksPerJob;
             costs.offered += TasksPerJob;
         }
--- a/Source/UnitTests/Dispatch/Scheduling/SchedulerTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/SchedulerTest.cpp
@@ -60,7 +60,7 @@
 SchedulerState configuredState()
 {
     SchedulerState state;
-    Dispatch::schedulerConfigured(state, configuration(), at(0));
+    Dispatch::configureScheduler(state, configuration(), at(0));
     return state;
 }
 
@@ -70,7 +70,7 @@
 {
     const auto refused = Dispatch::admitJob(state, demand, at(nowMs));
     REQUIRE(!refused);
-    Dispatch::jobRunnable(state, demand.id, at(nowMs));
+    Dispatch::setJobRunnable(state, demand.id, at(nowMs));
     return Dispatch::assignTasks(state, at(nowMs), random);
 }
 
@@ -135,11 +135,11 @@
         SchedulerState state = configuredState();
         Schema::Configuration drained = configuration();
         drained.drains = {Schema::Drain{"drained"}};
-        Dispatch::schedulerConfigured(state, drained, at(0));
+        Dispatch::configureScheduler(state, drained, at(0));
         Schema::AgentHello announced = hello("agent-1");
         JobDemand job = demand("job", 20);
         row.change(announced, job);
-        Dispatch::agentHeard(state, announced, at(0));
+        Dispatch::agentHelloReceived(state, announced, at(0));
         CHECK(submit(state, job, row.nowMs, random).size() == row.assigned);
         CHECK(Dispatch::totalDemand(state) == 20 - static_cast<std::int64_t>(row.assigned));
     }
@@ -170,7 +170,7 @@
              [](SchedulerState &state, JobDemand &demand) {
                  Schema::Configuration quota = configuration();
                  quota.teams.front().quota = 1;
-                 Dispatch::schedulerConfigured(state, quota, at(100));
+                 Dispatch::configureScheduler(state, quota, at(100));
                  demand.deadlineMs = WallMs + 10000;
              }},
     };
@@ -178,7 +178,7 @@
         CAPTURE(Schema::enumName(row.reason));
         Common::Random random(1);
         SchedulerState state = configuredState();
-        Dispatch::agentHeard(state, hello("agent-1"), at(0));
+        Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
         teach(state, 300, random);
         submit(state, demand("before", 40), 0, random);
         JobDemand job = demand("job", 40);
@@ -189,7 +189,7 @@
         CHECK((refused->retryAfterMs > 0) == row.retries);
         CHECK(!refused->detail.empty());
         const std::int64_t waiting = Dispatch::totalDemand(state);
-        Dispatch::jobRunnable(state, "job", at(100));
+        Dispatch::setJobRunnable(state, "job", at(100));
         CHECK(Dispatch::totalDemand(state) == waiting);
     }
 }
@@ -200,7 +200,7 @@
     for (const int queued : {100, 200, 360}) {
         Common::Random random(1);
         SchedulerState state = configuredState();
-        Dispatch::agentHeard(state, hello("agent-1"), at(0));
+        Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
         teach(state, 300, random);
         submit(state, demand("before", queued), 0, random);
         JobDemand job = demand("job");
@@ -218,9 +218,9 @@
     SchedulerState state = configuredState();
     Schema::Configuration quota = configuration();
     quota.teams.front().quota = 6;
-    Dispatch::schedulerConfigured(state, quota, at(0));
-    Dispatch::gatewaysCounted(state, 3);
-    Dispatch::agentHeard(state, hello("agent-1"), at(0));
+    Dispatch::configureScheduler(state, quota, at(0));
+    Dispatch::setGatewayCount(state, 3);
+    Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
     const auto started = submit(state, demand("job", 5), 0, random);
     CHECK(started.size() == 2);
     Dispatch::taskEnded(state, started[0].task, started[0].agent, true, 100, at(100));
@@ -233,7 +233,7 @@
     // task is offered again, later each time, and not for ever.
     Common::Random random(1);
     SchedulerState state = configuredState();
-    Dispatch::agentHeard(state, hello("agent-1"), at(0));
+    Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
     std::vector<Assignment> started = submit(state, demand("job"), 0, random);
     int attempts = 0;
     std::int64_t nowMs = 0;
@@ -246,10 +246,10 @@
             CHECK(Dispatch::assignTasks(state, at(nowMs), random).empty());
         }
         nowMs += 5;
-        Dispatch::agentHeard(state, hello("agent-1"), at(nowMs));
+        Dispatch::agentHelloReceived(state, hello("agent-1"), at(nowMs));
         started = Dispatch::assignTasks(state, at(nowMs), random);
     }
-    CHECK(decision == RetryDecision::GivenUp);
+    CHECK(decision == RetryDecision::AttemptsExhausted);
     CHECK(attempts == Dispatch::MaxStartAttempts);
     CHECK(nowMs > 1000);
     CHECK(Dispatch::totalDemand(state) == 0);
@@ -276,7 +276,7 @@
         CAPTURE(Schema::enumName(row.reason));
         Common::Random random(1);
         SchedulerState state = configuredState();
-        Dispatch::agentHeard(state, hello("agent-1"), at(0));
+        Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
         const auto started = submit(state, demand("first", 8), 0, random);
         REQUIRE(started.size() == 8);
         Dispatch::dropJob(state, "first");
@@ -295,9 +295,9 @@
     // too little time is left and not after it.
     Common::Random random(1);
     SchedulerState state = configuredState();
-    Dispatch::agentHeard(state, hello("agent-1", 1), at(0));
+    Dispatch::agentHelloReceived(state, hello("agent-1", 1), at(0));
     teach(state, 400, random);
-    Dispatch::agentHeard(state, hello("agent-1", 1), at(0));
+    Dispatch::agentHelloReceived(state, hello("agent-1", 1), at(0));
     const auto first = submit(state, demand("first"), 0, random);
     REQUIRE(first.size() == 1);
     JobDemand late = demand("late");
@@ -316,12 +316,12 @@
 {
     Common::Random random(1);
     SchedulerState state = configuredState();
-    Dispatch::agentHeard(state, hello("agent-1"), at(0));
+    Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
     Dispatch::restoreJob(state, demand("job", 10), {4, 5, 6, 7, 8, 9}, at(0));
     for (const int index : {0, 1, 2, 3}) {
         Dispatch::taskAdopted(state, {"job", index}, "agent-1", at(0));
     }
-    Dispatch::jobRunnable(state, "job", at(0));
+    Dispatch::setJobRunnable(state, "job", at(0));
     const auto started = Dispatch::assignTasks(state, at(0), random);
     REQUIRE(started.size() == 4);
     CHECK(started[0].task.index == 4);
@@ -358,14 +358,14 @@
             job.caller = "caller-" + std::to_string(random() % 5);
             job.deadlineMs = WallMs + nowMs + static_cast<std::int64_t>(random() % 8000);
             if (!Dispatch::admitJob(state, job, at(nowMs))) {
-                Dispatch::jobRunnable(state, job.id, at(nowMs));
+                Dispatch::setJobRunnable(state, job.id, at(nowMs));
                 jobs.push_back(job.id);
             }
             break;
         }
         case 2:
             windows[agent] = static_cast<std::int64_t>(random() % 9);
-            Dispatch::agentHeard(state, hello(agent, windows[agent]), at(nowMs));
+            Dispatch::agentHelloReceived(state, hello(agent, windows[agent]), at(nowMs));
             break;
         case 3:
             if (random() % 10 == 0) {
--- a/Source/UnitTests/Transient/LearnedTest.cpp
+++ b/Source/UnitTests/Transient/LearnedTest.cpp
@@ -34,7 +34,8 @@
 {
     GatewayState state;
     Common::Random random{1};
-    const Dispatch::ProfileId profile = Dispatch::findProfile(state.fleet.estimates, Queue, 300);
+    const Dispatch::ProfileId profile =
+            Dispatch::findOrAddProfile(state.fleet.estimates, Queue, 300);
     for (const char *name : {"fast", "slow"}) {
         agentAnnounced(state, announcementOf(name, {"a", "rack-1"}), at(0), random);
     }
@@ -81,8 +82,8 @@
         const double fast = Dispatch::speedFactor(after.fleet.agents.at("fast").speed);
         const double slow = Dispatch::speedFactor(after.fleet.agents.at("slow").speed);
         CHECK((slow > 2 * fast) == row.isRecalled);
-        const auto profile = Dispatch::findProfile(after.fleet.estimates, Queue, 300);
-        const auto known = Dispatch::findProfile(before.fleet.estimates, Queue, 300);
+        const auto profile = Dispatch::findOrAddProfile(after.fleet.estimates, Queue, 300);
+        const auto known = Dispatch::findOrAddProfile(before.fleet.estimates, Queue, 300);
         CHECK(Dispatch::meanRunMs(after.fleet.estimates, profile)
               == doctest::Approx(Dispatch::meanRunMs(before.fleet.estimates, known)).epsilon(0.1));
         CHECK(after.patiences.at(Queue).usualMs == before.patiences.at(Queue).usualMs);
@@ -105,7 +106,7 @@
     CHECK(after.patiences[0].usualMs == own.patiences[0].usualMs);
     GatewayState fresh;
     recallTimes(fresh, foreign);
-    const auto profile = Dispatch::findProfile(fresh.fleet.estimates, Queue, 300);
+    const auto profile = Dispatch::findOrAddProfile(fresh.fleet.estimates, Queue, 300);
     CHECK(Dispatch::meanRunMs(fresh.fleet.estimates, profile) > 0);
     CHECK(waitedBeforeMs(fresh.patiences[Queue], 1000) == 0);
 }
@@ -140,7 +141,7 @@
             announce();
         }
         CHECK(Dispatch::speedFactor(after.fleet.agents.at("slow").speed) > 1.2);
-        const auto profile = Dispatch::findProfile(after.fleet.estimates, Queue, 300);
+        const auto profile = Dispatch::findOrAddProfile(after.fleet.estimates, Queue, 300);
         CHECK(Dispatch::meanRunMs(after.fleet.estimates, profile) > 50);
     }
 }
