--- a/Source/Core/Dispatch/Scheduling/BackendPool.cpp
+++ b/Source/Core/Dispatch/Scheduling/BackendPool.cpp
@@ -61,13 +61,13 @@
 {
     BackendRecord &backend = pool.backends[index];
     Requirement &requirement = pool.requirements[id];
-    const bool was = backend.freePosition[id] != NotEligible;
-    const bool is = isEligible(backend, requirement);
-    if (was == is) {
+    const bool wasEligible = backend.freePosition[id] != NotEligible;
+    const bool isNowEligible = isEligible(backend, requirement);
+    if (wasEligible == isNowEligible) {
         return;
     }
     requirement.stepsStale = true;
-    if (is) {
+    if (isNowEligible) {
         backend.freePosition[id] = NotFree;
         requirement.eligibleCount += 1;
         return;
