--- a/Source/Core/Dispatch/Configuration/ConfigRules.cpp
+++ b/Source/Core/Dispatch/Configuration/ConfigRules.cpp
@@ -14,15 +14,15 @@
 
 constexpr std::size_t MaxNameLength = 128;
 
-std::string schemaFault(const Schema::ConfigChange &change)
+std::string schemaError(const Schema::ConfigChange &change)
 {
-    std::string fault;
+    std::string error;
     Common::handle(
             [&]() -> Common::Outcome<void> {
                 return Common::checkMessage(nlohmann::json(change), "ConfigChange");
             },
-            [&](const Common::Failure &failed) { fault = failed.detail; });
-    return fault;
+            [&](const Common::Failure &failed) { error = failed.detail; });
+    return error;
 }
 
 std::string nameOfValue(const Schema::Service &service)
@@ -41,7 +41,7 @@
 }
 
 template <typename Value>
-std::string namedValueFault(const std::optional<Value> &value, const Schema::ConfigChange &change)
+std::string namedValueError(const std::optional<Value> &value, const Schema::ConfigChange &change)
 {
     if (change.name.empty() || change.name.size() > MaxNameLength) {
         return "name: allowed: 1 to 128 characters";
@@ -62,7 +62,7 @@
            + static_cast<int>(change.policy.has_value());
 }
 
-std::string policyFault(const Schema::ConfigChange &change)
+std::string policyError(const Schema::ConfigChange &change)
 {
     if (change.remove == change.policy.has_value()) {
         return "a policy is either set, with its value, or removed";
@@ -70,23 +70,23 @@
     return "";
 }
 
-std::string valueFault(const Schema::ConfigChange &change)
+std::string valueError(const Schema::ConfigChange &change)
 {
     switch (change.kind) {
     case Schema::ConfigKind::Service:
-        return namedValueFault(change.service, change);
+        return namedValueError(change.service, change);
     case Schema::ConfigKind::Team:
-        return namedValueFault(change.team, change);
+        return namedValueError(change.team, change);
     case Schema::ConfigKind::Drain:
-        return namedValueFault(change.drain, change);
+        return namedValueError(change.drain, change);
     case Schema::ConfigKind::Policy:
-        return policyFault(change);
+        return policyError(change);
     }
     return "unknown kind";
 }
 
 template <typename Value>
-bool holds(const std::vector<Value> &values, const std::string &name)
+bool containsName(const std::vector<Value> &values, const std::string &name)
 {
     return std::any_of(values.begin(), values.end(),
                        [&](const Value &value) { return nameOfValue(value) == name; });
@@ -145,16 +145,16 @@
     return 0;
 }
 
-std::string configChangeFault(const Schema::ConfigChange &change)
+std::string configChangeError(const Schema::ConfigChange &change)
 {
     if (valueCount(change) > 1) {
         return "a change carries one value";
     }
-    const std::string fault = schemaFault(change);
-    return fault.empty() ? valueFault(change) : fault;
+    const std::string error = schemaError(change);
+    return error.empty() ? valueError(change) : error;
 }
 
-std::string configReferenceFault(const Schema::Configuration &configuration,
+std::string configReferenceError(const Schema::Configuration &configuration,
                                  const Schema::ConfigChange &change)
 {
     if (!change.remove) {
@@ -163,13 +163,13 @@
     bool known = true;
     switch (change.kind) {
     case Schema::ConfigKind::Service:
-        known = holds(configuration.services, change.name);
+        known = containsName(configuration.services, change.name);
         break;
     case Schema::ConfigKind::Team:
-        known = holds(configuration.teams, change.name);
+        known = containsName(configuration.teams, change.name);
         break;
     case Schema::ConfigKind::Drain:
-        known = holds(configuration.drains, change.name);
+        known = containsName(configuration.drains, change.name);
         break;
     case Schema::ConfigKind::Policy:
         break;
--- a/Source/Core/Dispatch/Configuration/ConfigRules.h
+++ b/Source/Core/Dispatch/Configuration/ConfigRules.h
@@ -16,9 +16,9 @@
 std::int64_t keyVersion(const Schema::Configuration &configuration, const std::string &key);
 
 /// Empty when \a change is well formed; otherwise what is wrong with it.
-std::string configChangeFault(const Schema::ConfigChange &change);
+std::string configChangeError(const Schema::ConfigChange &change);
 /// Empty when \a change fits \a configuration as well.
-std::string configReferenceFault(const Schema::Configuration &configuration,
+std::string configReferenceError(const Schema::Configuration &configuration,
                                  const Schema::ConfigChange &change);
 /// Sets or removes the key in \a configuration, which then has \a version.
 void applyConfigChange(Schema::Configuration &configuration, const Schema::ConfigChange &change,
--- a/Source/Core/Dispatch/Configuration/ConfigStore.cpp
+++ b/Source/Core/Dispatch/Configuration/ConfigStore.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-void takeIntoForce(ConfigStore &store, const Schema::Configuration &newer)
+void updateCurrent(ConfigStore &store, const Schema::Configuration &newer)
 {
-    if (newer.version > store.inForce.version) {
-        store.inForce = newer;
+    if (newer.version > store.current.version) {
+        store.current = newer;
     }
 }
 
 /// The first record with this id decides: a repetition of one that won is void, as its key has
 /// changed since, and must not turn the verdict.
-void decideProposal(ConfigStore &store, const std::string &recordId, bool won)
+void resolveProposal(ConfigStore &store, const std::string &recordId, bool isAccepted)
 {
     const auto found = std::find_if(
             store.proposed.begin(), store.proposed.end(),
@@ -29,15 +29,15 @@
     }
     ChangeResult result;
     result.requestId = found->requestId;
-    result.verdict = won ? ChangeVerdict::Accepted : ChangeVerdict::Conflict;
+    result.status = isAccepted ? ChangeStatus::Accepted : ChangeStatus::Conflict;
     result.version = store.fromLog.version;
     store.results.push_back(std::move(result));
     store.proposed.erase(found);
 }
 
-bool changeWins(const ConfigStore &store, const Schema::LogRecord &record)
+bool isChangeAccepted(const ConfigStore &store, const Schema::LogRecord &record)
 {
-    if (!record.change || !configChangeFault(*record.change).empty()) {
+    if (!record.change || !configChangeError(*record.change).empty()) {
         return false;
     }
     const std::int64_t changedAt = keyVersion(store.fromLog, configKey(*record.change));
@@ -46,13 +46,13 @@
 
 void readChange(ConfigStore &store, const Schema::LogEntry &entry)
 {
-    const bool won = changeWins(store, entry.record);
-    if (won) {
+    const bool isAccepted = isChangeAccepted(store, entry.record);
+    if (isAccepted) {
         applyConfigChange(store.fromLog, *entry.record.change, entry.offset + 1);
     }
-    decideProposal(store, entry.record.id, won);
-    if (store.neededSinceWallMs == 0) {
-        store.neededSinceWallMs = entry.record.wallMs;
+    resolveProposal(store, entry.record.id, isAccepted);
+    if (store.oldestNeededWallMs == 0) {
+        store.oldestNeededWallMs = entry.record.wallMs;
     }
 }
 
@@ -60,7 +60,7 @@
 /// record since the offset it reflects will be read after it.
 void readSnapshot(ConfigStore &store, const Schema::LogEntry &entry)
 {
-    store.neededSinceWallMs = entry.record.wallMs;
+    store.oldestNeededWallMs = entry.record.wallMs;
     if (!store.gap || !entry.record.configuration
         || entry.record.basedOn.value_or(0) < store.gapEnd) {
         return;
@@ -68,12 +68,12 @@
     // Changes read since the gap have been put on a document that lacked the dropped ones.
     store.fromLog = *entry.record.configuration;
     store.gap = false;
-    for (const Schema::LogEntry &held : store.sinceGap) {
+    for (const Schema::LogEntry &held : store.entriesAfterGap) {
         if (held.offset >= *entry.record.basedOn) {
             readChange(store, held);
         }
     }
-    store.sinceGap.clear();
+    store.entriesAfterGap.clear();
 }
 
 void readEntry(ConfigStore &store, const Schema::LogEntry &entry)
@@ -86,7 +86,7 @@
         return;
     }
     if (store.gap) {
-        store.sinceGap.push_back(entry);
+        store.entriesAfterGap.push_back(entry);
         return;
     }
     readChange(store, entry);
@@ -95,33 +95,33 @@
 /// A peer's document whose last change lies past the gap reflects all that was dropped.
 void closeGapFromPeers(ConfigStore &store)
 {
-    if (!store.gap || store.inForce.version < store.gapEnd) {
+    if (!store.gap || store.current.version < store.gapEnd) {
         return;
     }
-    store.fromLog = store.inForce;
+    store.fromLog = store.current;
     store.gap = false;
-    for (const Schema::LogEntry &held : std::exchange(store.sinceGap, {})) {
+    for (const Schema::LogEntry &held : std::exchange(store.entriesAfterGap, {})) {
         if (held.offset >= store.fromLog.version) {
             readChange(store, held);
         }
     }
-    takeIntoForce(store, store.fromLog);
+    updateCurrent(store, store.fromLog);
 }
 
 /// Live gateways put a snapshot into the log within seconds of its return. Without one there are
 /// none, and waiting on would keep the site down for good.
-Effects startAfresh(ConfigStore &store, Common::Moment now)
+Effects resumeAfterLoss(ConfigStore &store, Common::Moment now)
 {
-    if (!store.gap || !store.readToEnd || store.inForce.version != 0
+    if (!store.gap || !store.readToEnd || store.current.version != 0
         || now.steadyMs - store.gapSinceMs < store.settings.lostAfterMs) {
         return {};
     }
     store.gap = false;
-    for (const Schema::LogEntry &held : std::exchange(store.sinceGap, {})) {
+    for (const Schema::LogEntry &held : std::exchange(store.entriesAfterGap, {})) {
         readChange(store, held);
     }
-    takeIntoForce(store, store.fromLog);
-    return {Note{"config_lost", {{"before", std::to_string(store.gapEnd)}}}};
+    updateCurrent(store, store.fromLog);
+    return {LogLine{"config_lost", {{"before", std::to_string(store.gapEnd)}}}};
 }
 
 Effects sendProposal(ProposedChange &proposal, std::uint64_t &nextBatch)
@@ -131,16 +131,16 @@
     return {AppendToLog{LogStream::Config, proposal.batch, {proposal.record}}};
 }
 
-void giveUpProposals(ConfigStore &store, Common::Moment now)
+void expireProposals(ConfigStore &store, Common::Moment now)
 {
     for (const ProposedChange &proposal : store.proposed) {
-        if (now.steadyMs >= proposal.giveUpAtMs) {
-            store.results.push_back(ChangeResult{proposal.requestId, ChangeVerdict::Unknown, 0});
+        if (now.steadyMs >= proposal.expiresAtMs) {
+            store.results.push_back(ChangeResult{proposal.requestId, ChangeStatus::Unknown, 0});
         }
     }
     store.proposed.erase(std::remove_if(store.proposed.begin(), store.proposed.end(),
                                         [&](const ProposedChange &proposal) {
-                                            return now.steadyMs >= proposal.giveUpAtMs;
+                                            return now.steadyMs >= proposal.expiresAtMs;
                                         }),
                          store.proposed.end());
 }
@@ -149,11 +149,12 @@
                      Common::Random &random)
 {
     const std::int64_t period = store.settings.dedupWindowMs / 2;
-    const bool due = store.neededSinceWallMs != 0 && store.readToEnd && !store.gap
-                     && now.wallMs - store.neededSinceWallMs >= period;
-    const bool lately = store.snapshotSentMs >= 0
-                        && now.steadyMs - store.snapshotSentMs < store.settings.snapshotRetryMs;
-    if (!due || lately) {
+    const bool isDue = store.oldestNeededWallMs != 0 && store.readToEnd && !store.gap
+                       && now.wallMs - store.oldestNeededWallMs >= period;
+    const bool wasSentRecently =
+            store.snapshotSentMs >= 0
+            && now.steadyMs - store.snapshotSentMs < store.settings.snapshotRetryMs;
+    if (!isDue || wasSentRecently) {
         return {};
     }
     store.snapshotSentMs = now.steadyMs;
@@ -176,40 +177,40 @@
 
 const Schema::Configuration &configuration(const ConfigStore &store)
 {
-    return store.inForce;
+    return store.current;
 }
 
 bool configurationReady(const ConfigStore &store)
 {
     const bool known = (store.readToEnd && !store.gap) || store.adopted;
-    return known && store.inForce.version >= store.peersVersion;
+    return known && store.current.version >= store.newestPeerVersion;
 }
 
 Common::Outcome<void> proposeChange(ConfigStore &store, const std::string &requestId,
                                     const Schema::ConfigChange &change, std::int64_t basedOn,
                                     Common::Moment now, Common::Random &random)
 {
-    std::string fault = configChangeFault(change);
-    if (!fault.empty()) {
-        return Common::failure(Schema::Reason::ConfigInvalid, std::move(fault));
+    std::string error = configChangeError(change);
+    if (!error.empty()) {
+        return Common::failure(Schema::Reason::ConfigInvalid, std::move(error));
     }
     // First, so that the loser of a race hears of the race and not of its consequence.
-    const std::int64_t changedAt = keyVersion(store.inForce, configKey(change));
+    const std::int64_t changedAt = keyVersion(store.current, configKey(change));
     if (changedAt > basedOn) {
         return Common::failure(Schema::Reason::ConfigConflict, configKey(change)
                                                                        + " was changed at version "
                                                                        + std::to_string(changedAt));
     }
-    fault = configReferenceFault(store.inForce, change);
-    if (!fault.empty()) {
-        return Common::failure(Schema::Reason::ConfigInvalid, std::move(fault));
+    error = configReferenceError(store.current, change);
+    if (!error.empty()) {
+        return Common::failure(Schema::Reason::ConfigInvalid, std::move(error));
     }
     ProposedChange proposal;
     proposal.requestId = requestId;
     proposal.record = makeRecord(store.self, Schema::RecordKind::Config, now, random);
     proposal.record.change = change;
     proposal.record.basedOn = basedOn;
-    proposal.giveUpAtMs = now.steadyMs + store.settings.verdictTimeoutMs;
+    proposal.expiresAtMs = now.steadyMs + store.settings.changeTimeoutMs;
     store.proposed.push_back(std::move(proposal));
     return {};
 }
@@ -222,8 +223,8 @@
 Effects configTick(ConfigStore &store, std::uint64_t &nextBatch, bool writesSnapshots,
                    Common::Moment now, Common::Random &random)
 {
-    Effects effects = startAfresh(store, now);
-    giveUpProposals(store, now);
+    Effects effects = resumeAfterLoss(store, now);
+    expireProposals(store, now);
     for (ProposedChange &proposal : store.proposed) {
         if (!proposal.inFlight && !proposal.durable && now.steadyMs >= proposal.retryAtMs) {
             append(effects, sendProposal(proposal, nextBatch));
@@ -235,8 +236,8 @@
     return effects;
 }
 
-Effects configAppendDone(ConfigStore &store, std::uint64_t batch, AppendStatus status,
-                         Common::Moment now)
+Effects handleConfigAppendResult(ConfigStore &store, std::uint64_t batch, AppendStatus status,
+                                 Common::Moment now)
 {
     for (ProposedChange &proposal : store.proposed) {
         if (proposal.batch != batch || !proposal.inFlight) {
@@ -253,15 +254,15 @@
     return {};
 }
 
-Effects configRead(ConfigStore &store, const LogRead &read, Common::Moment now)
+Effects handleConfigRead(ConfigStore &store, const LogRead &read, Common::Moment now)
 {
     Effects effects;
     if (read.oldestOffset > store.readOffset) {
-        effects.push_back(Note{"config_gap", {{"to", std::to_string(read.oldestOffset)}}});
+        effects.push_back(LogLine{"config_gap", {{"to", std::to_string(read.oldestOffset)}}});
         store.gap = true;
         store.gapEnd = read.oldestOffset;
         store.gapSinceMs = now.steadyMs;
-        store.sinceGap.clear();
+        store.entriesAfterGap.clear();
         closeGapFromPeers(store);
     }
     for (const Schema::LogEntry &entry : read.entries) {
@@ -272,24 +273,24 @@
     store.readOffset = std::max(store.readOffset, read.nextOffset);
     store.readToEnd = store.readToEnd || read.atEnd;
     if (!store.gap) {
-        takeIntoForce(store, store.fromLog);
+        updateCurrent(store, store.fromLog);
     }
     return effects;
 }
 
 bool adoptConfiguration(ConfigStore &store, const Schema::Configuration &from)
 {
-    peerHasVersion(store, from.version);
+    updatePeerVersion(store, from.version);
     store.adopted = true;
-    const bool newer = from.version > store.inForce.version;
-    takeIntoForce(store, from);
+    const bool newer = from.version > store.current.version;
+    updateCurrent(store, from);
     closeGapFromPeers(store);
     return newer;
 }
 
-void peerHasVersion(ConfigStore &store, std::int64_t version)
+void updatePeerVersion(ConfigStore &store, std::int64_t version)
 {
-    store.peersVersion = std::max(store.peersVersion, version);
+    store.newestPeerVersion = std::max(store.newestPeerVersion, version);
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Configuration/ConfigStore.h
+++ b/Source/Core/Dispatch/Configuration/ConfigStore.h
@@ -23,7 +23,7 @@
     std::int64_t dedupWindowMs = 600000;
     std::int64_t retryMs = 200;
     /// An operator's change whose fate is not known after this long is answered so.
-    std::int64_t verdictTimeoutMs = 10000;
+    std::int64_t changeTimeoutMs = 10000;
     std::int64_t snapshotRetryMs = 5000;
     /// A gap that nothing has closed for this long while the log was read to its end: nobody has
     /// the document any more, as after a site was down for longer than the log's retention.
@@ -31,7 +31,7 @@
     Safeguards safeguards;
 };
 
-enum class ChangeVerdict {
+enum class ChangeStatus {
     Accepted,
     /// An earlier change to the same key won the race.
     Conflict,
@@ -43,7 +43,7 @@
 struct ChangeResult
 {
     std::string requestId;
-    ChangeVerdict verdict = ChangeVerdict::Unknown;
+    ChangeStatus status = ChangeStatus::Unknown;
     /// Configuration version after the change, where accepted.
     std::int64_t version = 0;
 };
@@ -57,7 +57,7 @@
     /// A durable record is not sent again, only waited for.
     bool durable = false;
     std::int64_t retryAtMs = 0;
-    std::int64_t giveUpAtMs = 0;
+    std::int64_t expiresAtMs = 0;
 };
 
 struct ConfigStore
@@ -65,20 +65,20 @@
     ConfigSettings settings;
     std::string self;
     Schema::Configuration fromLog;
-    Schema::Configuration inForce;
+    Schema::Configuration current;
     std::int64_t readOffset = 0;
     /// The log dropped records that were never read here; only a snapshot or a peer helps.
     bool gap = false;
     /// The first offset the log still held when the gap was found, and the changes read since,
     /// which wait for a document to be put on.
     std::int64_t gapEnd = 0;
-    std::vector<Schema::LogEntry> sinceGap;
+    std::vector<Schema::LogEntry> entriesAfterGap;
     std::int64_t gapSinceMs = 0;
     bool readToEnd = false;
     bool adopted = false;
-    std::int64_t peersVersion = 0;
+    std::int64_t newestPeerVersion = 0;
     /// Time of the oldest record that a fresh reader needs; 0 while the stream is empty.
-    std::int64_t neededSinceWallMs = 0;
+    std::int64_t oldestNeededWallMs = 0;
     std::int64_t snapshotSentMs = -1;
     std::vector<ProposedChange> proposed;
     std::vector<ChangeResult> results;
@@ -102,13 +102,13 @@
 /// \a writesSnapshots is true on one gateway of the site.
 Effects configTick(ConfigStore &store, std::uint64_t &nextBatch, bool writesSnapshots,
                    Common::Moment now, Common::Random &random);
-Effects configAppendDone(ConfigStore &store, std::uint64_t batch, AppendStatus status,
-                         Common::Moment now);
-Effects configRead(ConfigStore &store, const LogRead &read, Common::Moment now);
+Effects handleConfigAppendResult(ConfigStore &store, std::uint64_t batch, AppendStatus status,
+                                 Common::Moment now);
+Effects handleConfigRead(ConfigStore &store, const LogRead &read, Common::Moment now);
 
 /// A peer's document, taken over if newer. Returns whether it was.
 bool adoptConfiguration(ConfigStore &store, const Schema::Configuration &from);
 /// A peer holds \a version.
-void peerHasVersion(ConfigStore &store, std::int64_t version);
+void updatePeerVersion(ConfigStore &store, std::int64_t version);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Effects.h
+++ b/Source/Core/Dispatch/Effects.h
@@ -66,14 +66,14 @@
 };
 
 /// One log line.
-struct Note
+struct LogLine
 {
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
 
 using Effect = std::variant<SendToGateway, SendToAgent, AppendToLog, AnswerRequest, AnswerConfigure,
-                            AnswerQuery, CountReason, Note>;
+                            AnswerQuery, CountReason, LogLine>;
 using Effects = std::vector<Effect>;
 
 using Common::append;
--- a/Source/Core/Dispatch/GatewayCore.cpp
+++ b/Source/Core/Dispatch/GatewayCore.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Jobs/Router.h"
 #include "Dispatch/Jobs/TaskReports.h"
 #include "Dispatch/Jobs/TaskStarts.h"
@@ -19,10 +19,10 @@
 
 /// The owner answers at the job's deadline; its answer needs a moment to come back.
 constexpr std::int64_t AnswerGraceMs = 2'000;
-constexpr std::int64_t QuestionTimeoutMs = 10'000;
-constexpr std::int64_t SweepMs = 1'000;
+constexpr std::int64_t NonWaitingTimeoutMs = 10'000;
+constexpr std::int64_t SweepIntervalMs = 1'000;
 /// An agent without a connection for this many silences takes its outcomes along for good.
-constexpr std::int64_t GoneFactor = 4;
+constexpr std::int64_t AgentExpiryFactor = 4;
 
 LedgerSettings ledgerSettings(const Schema::GatewaySettings &settings)
 {
@@ -35,7 +35,8 @@
     return ledger;
 }
 
-Effect pongTo(const GatewayState &state, const std::string &agent, const Schema::AgentHello &hello)
+Effect makePong(const GatewayState &state, const std::string &agent,
+                const Schema::AgentHello &hello)
 {
     Schema::Frame frame = frameOf(FrameType::GatewayPong);
     Schema::GatewayPong &pong = frame.gatewayPong.emplace();
@@ -54,27 +55,27 @@
     return SendToAgent{agent, std::move(frame)};
 }
 
-Effects helloHeard(GatewayState &state, const std::string &agent, const Schema::AgentHello &hello,
-                   Common::Moment now)
+Effects handleAgentHello(GatewayState &state, const std::string &agent,
+                         const Schema::AgentHello &hello, Common::Moment now)
 {
     const auto known = state.agents.agents.find(agent);
-    const bool isNewLink = known == state.agents.agents.end() || !known->second.isLinked;
+    const bool isNewConnection = known == state.agents.agents.end() || !known->second.isConnected;
     Effects effects;
-    for (const std::string &replaced : agentLinked(state.agents, agent, hello.backend.name)) {
-        append(effects, agentGone(state, replaced, now));
+    for (const std::string &replaced : connectAgent(state.agents, agent, hello.backend.name)) {
+        append(effects, removeLostAgent(state, replaced, now));
     }
     agentHeard(state.scheduler, hello, now);
-    effects.push_back(pongTo(state, agent, hello));
-    if (isNewLink) {
+    effects.push_back(makePong(state, agent, hello));
+    if (isNewConnection) {
         effects.emplace_back(
-                Note{"agent_linked", {{"agent", agent}, {"backend", hello.backend.name}}});
+                LogLine{"agent_linked", {{"agent", agent}, {"backend", hello.backend.name}}});
         append(effects, askAfterReconnection(state, agent));
     }
     return effects;
 }
 
 /// Applies a configuration that has come into force.
-void adoptPolicy(GatewayState &state, Common::Moment now)
+void updateSchedulerConfiguration(GatewayState &state, Common::Moment now)
 {
     const Schema::Configuration &config = configuration(state.site.config);
     if (config.version != state.schedulerConfigVersion) {
@@ -95,31 +96,31 @@
 
 Effects sweep(GatewayState &state, Common::Moment now)
 {
-    if (now.steadyMs < state.lastSweepMs + SweepMs) {
+    if (now.steadyMs < state.lastSweepMs + SweepIntervalMs) {
         return {};
     }
     state.lastSweepMs = now.steadyMs;
     countGateways(state, now);
     forgetExpired(state.ledger, now);
     Effects effects;
-    const std::int64_t graceMs = GoneFactor * state.settings.agentSilenceMs;
-    for (const std::string &agent : goneAgents(state.agents, now, graceMs)) {
-        append(effects, agentGone(state, agent, now));
+    const std::int64_t graceMs = AgentExpiryFactor * state.settings.agentSilenceMs;
+    for (const std::string &agent : expiredAgents(state.agents, now, graceMs)) {
+        append(effects, removeLostAgent(state, agent, now));
     }
     return effects;
 }
 
-Effects answerChanges(GatewayState &state)
+Effects answerConfigChanges(GatewayState &state)
 {
     Effects effects;
     for (const ChangeResult &result : takeChangeResults(state.site.config)) {
         AnswerConfigure answer;
         answer.requestId = result.requestId;
         answer.version = result.version;
-        if (result.verdict == ChangeVerdict::Conflict) {
+        if (result.status == ChangeStatus::Conflict) {
             answer.reason = Reason::ConfigConflict;
             answer.detail = "another change to the same key came first";
-        } else if (result.verdict == ChangeVerdict::Unknown) {
+        } else if (result.status == ChangeStatus::Unknown) {
             answer.reason = Reason::LogUnavailable;
             answer.detail = "the log has not shown the change in time; it may yet take effect";
         }
@@ -128,7 +129,7 @@
     return effects;
 }
 
-bool ownsNothing(const GatewayState &state)
+bool ownsNoShards(const GatewayState &state)
 {
     const auto &shards = state.site.ownership.table.shards;
     return std::none_of(shards.begin(), shards.end(), [&state](const ShardClaim &claim) {
@@ -136,7 +137,7 @@
     });
 }
 
-bool owesNothing(const GatewayState &state, Common::Moment now)
+bool hasNoPendingWork(const GatewayState &state, Common::Moment now)
 {
     const bool hasOffers = std::any_of(
             state.offers.begin(), state.offers.end(), [&](const OfferedHandover &offer) {
@@ -152,24 +153,24 @@
     if (!state.stopping || state.isStopComplete) {
         return;
     }
-    if (!owesNothing(state, now)) {
+    if (!hasNoPendingWork(state, now)) {
         state.idleSinceMs = 0;
         return;
     }
     state.idleSinceMs = state.idleSinceMs == 0 ? now.steadyMs : state.idleSinceMs;
     const bool hasNoSuccessor = now.steadyMs >= state.idleSinceMs + state.settings.peerSilenceMs;
-    if (state.finishingSinceMs == 0 && (ownsNothing(state) || hasNoSuccessor)) {
-        state.finishingSinceMs = now.steadyMs;
+    if (state.leavingSinceMs == 0 && (ownsNoShards(state) || hasNoSuccessor)) {
+        state.leavingSinceMs = now.steadyMs;
         finishLeaving(state.site.ownership);
     }
-    if (state.finishingSinceMs == 0) {
+    if (state.leavingSinceMs == 0) {
         return;
     }
     // Without the log, or with another member silent, leaving cannot be settled: the seat is then
     // replaced like a lost one.
-    const bool waitedEnough =
-            now.steadyMs >= state.finishingSinceMs + 2 * state.settings.peerSilenceMs;
-    state.isStopComplete = hasLeft(state.site.ownership) || waitedEnough;
+    const bool isLeaveTimedOut =
+            now.steadyMs >= state.leavingSinceMs + 2 * state.settings.peerSilenceMs;
+    state.isStopComplete = hasLeft(state.site.ownership) || isLeaveTimedOut;
 }
 
 } // namespace
@@ -187,21 +188,21 @@
     return state;
 }
 
-Effects callerAsked(GatewayState &state, CallerRequest asked, Common::Moment now,
-                    Common::Random &random)
+Effects handleCallerRequest(GatewayState &state, CallerRequest callerRequest, Common::Moment now,
+                            Common::Random &random)
 {
     Request request;
-    request.remoteId = std::move(asked.token);
-    request.kind = asked.kind;
-    request.wait = asked.wait;
-    request.job = std::move(asked.job);
-    request.submit = std::move(asked.submit);
+    request.remoteId = std::move(callerRequest.token);
+    request.kind = callerRequest.kind;
+    request.wait = callerRequest.wait;
+    request.job = std::move(callerRequest.job);
+    request.submit = std::move(callerRequest.submit);
     request.deadlineMs =
-            now.wallMs + (asked.wait ? state.settings.maxDeadlineMs : QuestionTimeoutMs);
+            now.wallMs + (callerRequest.wait ? state.settings.maxDeadlineMs : NonWaitingTimeoutMs);
     if (request.submit) {
-        request.idMintedHere = !request.submit->id;
-        if (request.idMintedHere) {
-            request.submit->id = mintJobId(state, random);
+        request.idGeneratedHere = !request.submit->id;
+        if (request.idGeneratedHere) {
+            request.submit->id = generateJobId(state, random);
             request.submit->firstSubmittedMs = now.wallMs;
         }
         request.job = *request.submit->id;
@@ -212,9 +213,9 @@
     return routeRequest(state, id, now);
 }
 
-Effects configureAsked(GatewayState &state, const std::string &token,
-                       const Schema::ConfigChange &change, std::int64_t basedOn, Common::Moment now,
-                       Common::Random &random)
+Effects handleConfigChange(GatewayState &state, const std::string &token,
+                           const Schema::ConfigChange &change, std::int64_t basedOn,
+                           Common::Moment now, Common::Random &random)
 {
     Effects effects;
     Common::handle(
@@ -226,37 +227,37 @@
     return effects;
 }
 
-Effects agentFrameHeard(GatewayState &state, const std::string &agent, const Schema::Frame &frame,
-                        Common::Moment now, Common::Random &random)
+Effects handleAgentFrame(GatewayState &state, const std::string &agent, const Schema::Frame &frame,
+                         Common::Moment now, Common::Random &random)
 {
     if (frame.type == FrameType::AgentHello) {
-        return helloHeard(state, agent, *frame.agentHello, now);
+        return handleAgentHello(state, agent, *frame.agentHello, now);
     }
     if (frame.type != FrameType::TaskStates) {
         return {};
     }
     agentWindow(state.scheduler, agent, frame.taskStates->window, frame.taskStates->running, now);
-    Effects effects = tasksReported(state, agent, *frame.taskStates, now, random);
+    Effects effects = handleTaskReports(state, agent, *frame.taskStates, now, random);
     append(effects, questionAnswered(state, agent, *frame.taskStates, now, random));
     return effects;
 }
 
-Effects gatewayFrameHeard(GatewayState &state, const std::string &gateway,
-                          const Schema::Frame &frame, Common::Moment now)
+Effects handleGatewayFrame(GatewayState &state, const std::string &gateway,
+                           const Schema::Frame &frame, Common::Moment now)
 {
     switch (frame.type) {
     case FrameType::PeerPing:
-        return pingHeard(state.site, *frame.peerPing, now);
+        return handlePing(state.site, *frame.peerPing, now);
     case FrameType::Forward:
         if (frame.forward->kind == Schema::ForwardKind::Query) {
-            return queryPartAsked(state, gateway, *frame.forward, now);
+            return handleQueryPart(state, gateway, *frame.forward, now);
         }
-        return forwardHeard(state, gateway, *frame.forward, now);
+        return handleForward(state, gateway, *frame.forward, now);
     case FrameType::ForwardAnswer:
         if (frame.forwardAnswer->query) {
-            return queryPartHeard(state, gateway, *frame.forwardAnswer);
+            return handleQueryPartAnswer(state, gateway, *frame.forwardAnswer);
         }
-        return forwardAnswered(state, *frame.forwardAnswer, now);
+        return handleForwardAnswer(state, *frame.forwardAnswer, now);
     case FrameType::Handover:
         return handoverHeard(state, *frame.handover, now);
     case FrameType::HandoverAccepted:
@@ -270,46 +271,47 @@
     }
 }
 
-void agentLinkLost(GatewayState &state, const std::string &agent, Common::Moment now)
+void handleAgentDisconnected(GatewayState &state, const std::string &agent, Common::Moment now)
 {
-    agentUnlinked(state.agents, agent, now);
+    disconnectAgent(state.agents, agent, now);
     agentLost(state.scheduler, agent, now);
 }
 
-void gatewayLinkLost(GatewayState &state, const std::string &gateway)
+void handleGatewayDisconnected(GatewayState &state, const std::string &gateway)
 {
     holdForwardedTo(state.requests, gateway);
 }
 
-Effects logHeard(GatewayState &state, LogStream stream, const LogRead &read, Common::Moment now)
+Effects handleLogRead(GatewayState &state, LogStream stream, const LogRead &read,
+                      Common::Moment now)
 {
-    return logRead(state.site, stream, read, now);
+    return handleSiteLogRead(state.site, stream, read, now);
 }
 
-Effects appendEnded(GatewayState &state, LogStream stream, std::uint64_t batch, AppendStatus status,
-                    Common::Moment now)
+Effects handleAppendResult(GatewayState &state, LogStream stream, std::uint64_t batch,
+                           AppendStatus status, Common::Moment now)
 {
-    return appendDone(state.site, stream, batch, status, now);
+    return handleSiteAppendResult(state.site, stream, batch, status, now);
 }
 
-Effects settle(GatewayState &state, Common::Moment now, Common::Random &random)
+Effects gatewayTick(GatewayState &state, Common::Moment now, Common::Random &random)
 {
     Effects effects = siteTick(state.site, now, random);
-    adoptPolicy(state, now);
+    updateSchedulerConfiguration(state, now);
     const std::int64_t version = ownershipVersion(state.site.ownership);
-    if (version != state.settledVersion) {
-        state.settledVersion = version;
+    if (version != state.lostShardsDroppedVersion) {
+        state.lostShardsDroppedVersion = version;
         dropLostShards(state, now);
     }
-    append(effects, answerChanges(state));
+    append(effects, answerConfigChanges(state));
     append(effects, recoveryTick(state, now));
     append(effects, transferTick(state, now, random));
     append(effects, sweep(state, now));
-    append(effects, releaseJournaled(state, now));
-    append(effects, endOverdueJobs(state, now));
-    append(effects, routeHeld(state, now));
+    append(effects, releaseJournaledJobs(state, now));
+    append(effects, finishOverdueJobs(state, now));
+    append(effects, routeHeldRequests(state, now));
     append(effects, queryTick(state, now));
-    if (state.finishingSinceMs == 0) {
+    if (state.leavingSinceMs == 0) {
         append(effects, startTasks(state, now, random));
     }
     stopTick(state, now);
--- a/Source/Core/Dispatch/GatewayCore.h
+++ b/Source/Core/Dispatch/GatewayCore.h
@@ -23,26 +23,27 @@
 GatewayState makeGateway(const Schema::GatewaySettings &settings, const Schema::Member &self,
                          Common::Moment now);
 
-Effects callerAsked(GatewayState &state, CallerRequest asked, Common::Moment now,
-                    Common::Random &random);
-Effects configureAsked(GatewayState &state, const std::string &token,
-                       const Schema::ConfigChange &change, std::int64_t basedOn, Common::Moment now,
-                       Common::Random &random);
-
-Effects agentFrameHeard(GatewayState &state, const std::string &agent, const Schema::Frame &frame,
-                        Common::Moment now, Common::Random &random);
-Effects gatewayFrameHeard(GatewayState &state, const std::string &gateway,
-                          const Schema::Frame &frame, Common::Moment now);
-void agentLinkLost(GatewayState &state, const std::string &agent, Common::Moment now);
-void gatewayLinkLost(GatewayState &state, const std::string &gateway);
-
-Effects logHeard(GatewayState &state, LogStream stream, const LogRead &read, Common::Moment now);
-Effects appendEnded(GatewayState &state, LogStream stream, std::uint64_t batch, AppendStatus status,
-                    Common::Moment now);
+Effects handleCallerRequest(GatewayState &state, CallerRequest callerRequest, Common::Moment now,
+                            Common::Random &random);
+Effects handleConfigChange(GatewayState &state, const std::string &token,
+                           const Schema::ConfigChange &change, std::int64_t basedOn,
+                           Common::Moment now, Common::Random &random);
+
+Effects handleAgentFrame(GatewayState &state, const std::string &agent, const Schema::Frame &frame,
+                         Common::Moment now, Common::Random &random);
+Effects handleGatewayFrame(GatewayState &state, const std::string &gateway,
+                           const Schema::Frame &frame, Common::Moment now);
+void handleAgentDisconnected(GatewayState &state, const std::string &agent, Common::Moment now);
+void handleGatewayDisconnected(GatewayState &state, const std::string &gateway);
+
+Effects handleLogRead(GatewayState &state, LogStream stream, const LogRead &read,
+                      Common::Moment now);
+Effects handleAppendResult(GatewayState &state, LogStream stream, std::uint64_t batch,
+                           AppendStatus status, Common::Moment now);
 
 /// Everything that follows from what has come in and from the time: call it after each batch of
 /// events and at least every few milliseconds.
-Effects settle(GatewayState &state, Common::Moment now, Common::Random &random);
+Effects gatewayTick(GatewayState &state, Common::Moment now, Common::Random &random);
 
 /// Ready for callers: it has a configuration and knows an owner for every shard.
 bool isReady(const GatewayState &state);
--- a/Source/Core/Dispatch/GatewayState.h
+++ b/Source/Core/Dispatch/GatewayState.h
@@ -39,7 +39,7 @@
     std::vector<Takeover> takeovers;
     /// For each shard taken over: a job first submitted since then, of which no agent has told, has
     /// not started.
-    std::map<std::int64_t, std::int64_t> provenSinceMs;
+    std::map<std::int64_t, std::int64_t> provenNotStartedSinceMs;
 };
 
 /// A handover that its successor has not accepted yet.
@@ -78,13 +78,13 @@
     std::set<std::string> awaitingIntent;
     std::int64_t schedulerConfigVersion = -1;
     /// Table version for which lost shards were last dropped.
-    std::int64_t settledVersion = -1;
-    std::uint64_t lastQuestion = 0;
+    std::int64_t lostShardsDroppedVersion = -1;
+    std::uint64_t lastRequestNumber = 0;
     std::int64_t lastSweepMs = 0;
     bool stopping = false;
     /// Steady times during a stop: since when nothing is owed, and when leaving was begun for good.
     std::int64_t idleSinceMs = 0;
-    std::int64_t finishingSinceMs = 0;
+    std::int64_t leavingSinceMs = 0;
     bool isStopComplete = false;
 };
 
--- a/Source/Core/Dispatch/Jobs/AgentTable.cpp
+++ b/Source/Core/Dispatch/Jobs/AgentTable.cpp
@@ -2,8 +2,8 @@
 
 namespace Dispatch {
 
-std::vector<std::string> agentLinked(AgentTable &table, const std::string &instance,
-                                     const std::string &backend)
+std::vector<std::string> connectAgent(AgentTable &table, const std::string &instance,
+                                      const std::string &backend)
 {
     std::vector<std::string> replaced;
     for (const auto &[other, record] : table.agents) {
@@ -13,27 +13,27 @@
     }
     AgentRecord &record = table.agents[instance];
     record.backend = backend;
-    record.isLinked = true;
+    record.isConnected = true;
     return replaced;
 }
 
-void agentUnlinked(AgentTable &table, const std::string &instance, Common::Moment now)
+void disconnectAgent(AgentTable &table, const std::string &instance, Common::Moment now)
 {
     const auto found = table.agents.find(instance);
-    if (found == table.agents.end() || !found->second.isLinked) {
+    if (found == table.agents.end() || !found->second.isConnected) {
         return;
     }
-    found->second.isLinked = false;
-    found->second.lostAtMs = now.steadyMs;
-    found->second.openQuestion.clear();
+    found->second.isConnected = false;
+    found->second.disconnectedAtMs = now.steadyMs;
+    found->second.pendingReportRequest.clear();
 }
 
-void taskWith(AgentTable &table, const std::string &instance, const TaskKey &task)
+void addAgentTask(AgentTable &table, const std::string &instance, const TaskKey &task)
 {
     table.agents[instance].tasks.emplace(task.job, task.index);
 }
 
-void taskLeft(AgentTable &table, const std::string &instance, const TaskKey &task)
+void removeAgentTask(AgentTable &table, const std::string &instance, const TaskKey &task)
 {
     const auto found = table.agents.find(instance);
     if (found != table.agents.end()) {
@@ -41,23 +41,23 @@
     }
 }
 
-std::vector<std::string> linkedAgents(const AgentTable &table)
+std::vector<std::string> connectedAgents(const AgentTable &table)
 {
     std::vector<std::string> linked;
     for (const auto &[instance, record] : table.agents) {
-        if (record.isLinked) {
+        if (record.isConnected) {
             linked.push_back(instance);
         }
     }
     return linked;
 }
 
-std::vector<std::string> goneAgents(const AgentTable &table, Common::Moment now,
-                                    std::int64_t graceMs)
+std::vector<std::string> expiredAgents(const AgentTable &table, Common::Moment now,
+                                       std::int64_t graceMs)
 {
     std::vector<std::string> gone;
     for (const auto &[instance, record] : table.agents) {
-        if (!record.isLinked && record.lostAtMs + graceMs <= now.steadyMs) {
+        if (!record.isConnected && record.disconnectedAtMs + graceMs <= now.steadyMs) {
             gone.push_back(instance);
         }
     }
@@ -75,7 +75,7 @@
         tasks.push_back({job, static_cast<int>(index)});
     }
     table.agents.erase(found);
-    table.lastGoneMs = now.steadyMs;
+    table.lastRemovalMs = now.steadyMs;
     return tasks;
 }
 
--- a/Source/Core/Dispatch/Jobs/JobEnd.cpp
+++ b/Source/Core/Dispatch/Jobs/JobCompletion.cpp
@@ -1,4 +1,4 @@
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 
 #include <map>
 #include <optional>
@@ -57,8 +57,8 @@
     return effects;
 }
 
-Effects answerAll(GatewayState &state, const std::vector<std::string> &requests,
-                  const Schema::JobAnswer &answer)
+Effects answerRequests(GatewayState &state, const std::vector<std::string> &requests,
+                       const Schema::JobAnswer &answer)
 {
     Effects effects;
     for (const std::string &request : requests) {
@@ -69,21 +69,21 @@
 
 Effects finishJob(GatewayState &state, JobEntry &job, const Schema::JobAnswer &answer)
 {
-    std::map<std::string, Schema::TaskRefs> recalled;
+    std::map<std::string, Schema::TaskRefs> cancelled;
     for (std::size_t index = 0; index < job.tasks.size(); ++index) {
         const TaskEntry &task = job.tasks[index];
         if (task.stage == TaskStage::Sent && !task.agent.empty()) {
             Schema::TaskRef ref;
             ref.job = job.id;
             ref.index = static_cast<std::int64_t>(index);
-            recalled[task.agent].tasks.push_back(std::move(ref));
+            cancelled[task.agent].tasks.push_back(std::move(ref));
         }
     }
     Effects effects{CountReason{EndedCounter, answer.reason}};
-    append(effects, answerAll(state, endJob(state.ledger, job, answer), answer));
+    append(effects, answerRequests(state, endJob(state.ledger, job, answer), answer));
     dropJob(state.scheduler, job.id);
     state.awaitingIntent.erase(job.id);
-    for (auto &[agent, refs] : recalled) {
+    for (auto &[agent, refs] : cancelled) {
         Schema::Frame frame = frameOf(Schema::FrameType::CancelTasks);
         frame.cancelTasks = std::move(refs);
         effects.emplace_back(SendToAgent{agent, std::move(frame)});
@@ -100,7 +100,7 @@
     return answer ? finishJob(state, job, *answer) : Effects{};
 }
 
-Effects endOverdueJobs(GatewayState &state, Common::Moment now)
+Effects finishOverdueJobs(GatewayState &state, Common::Moment now)
 {
     Effects effects;
     for (const ExpiredJob &expired : expiredJobs(state.scheduler, now)) {
--- a/Source/Core/Dispatch/Jobs/JobEnd.h
+++ b/Source/Core/Dispatch/Jobs/JobCompletion.h
@@ -12,8 +12,8 @@
 /// Sends \a answer to whoever asked; does nothing for a request that has been answered.
 Effects answerRequest(GatewayState &state, const std::string &requestId,
                       const Schema::JobAnswer &answer);
-Effects answerAll(GatewayState &state, const std::vector<std::string> &requests,
-                  const Schema::JobAnswer &answer);
+Effects answerRequests(GatewayState &state, const std::vector<std::string> &requests,
+                       const Schema::JobAnswer &answer);
 Effects refuseRequest(GatewayState &state, const std::string &requestId, Schema::Reason reason,
                       const std::string &detail, std::int64_t retryAfterMs = 0);
 
@@ -22,6 +22,6 @@
 /// Ends the job if its tasks decide it.
 Effects finishIfDecided(GatewayState &state, JobEntry &job);
 /// Deadlines passed and jobs that can't be served in time.
-Effects endOverdueJobs(GatewayState &state, Common::Moment now);
+Effects finishOverdueJobs(GatewayState &state, Common::Moment now);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Jobs/Requests.cpp
+++ b/Source/Core/Dispatch/Jobs/Requests.cpp
@@ -58,14 +58,14 @@
 {
     request.stage = RequestStage::Forwarded;
     request.forwardedTo = instance;
-    request.mayHaveActed = true;
+    request.mayHaveTakenEffect = true;
     table.held.erase(request.id);
 }
 
 void markWaiting(RequestTable &table, Request &request)
 {
     request.stage = RequestStage::Waiting;
-    request.mayHaveActed = true;
+    request.mayHaveTakenEffect = true;
     table.held.erase(request.id);
 }
 
@@ -111,12 +111,12 @@
     return frame;
 }
 
-Schema::JobAnswer unansweredAnswer(const Request &request)
+Schema::JobAnswer ownerUnreachableAnswer(const Request &request)
 {
     const std::size_t taskCount = request.submit ? request.submit->tasks.size() : 0;
     Schema::JobAnswer answer = refusal(request.job, taskCount, Schema::Reason::OwnerUnreachable,
                                        "the gateway responsible for this job could not be reached");
-    const bool isProvedNotRun = request.idMintedHere && !request.mayHaveActed;
+    const bool isProvedNotRun = request.idGeneratedHere && !request.mayHaveTakenEffect;
     if (!isProvedNotRun) {
         // The id may have been submitted elsewhere before, or this request may have been acted on.
         answer.outcome = Schema::JobOutcome::Unknown;
--- a/Source/Core/Dispatch/Jobs/Requests.h
+++ b/Source/Core/Dispatch/Jobs/Requests.h
@@ -37,14 +37,14 @@
     std::string job;
     std::optional<Schema::SubmitJob> submit;
     /// True when this gateway made up the job's id: no other gateway can have seen it before.
-    bool idMintedHere = false;
+    bool idGeneratedHere = false;
     std::int64_t deadlineMs = 0;
     RequestStage stage = RequestStage::Held;
     std::string forwardedTo;
     /// Steady time before which a held request is not tried again.
     std::int64_t retryAtMs = 0;
     /// True once any gateway may have acted on it.
-    bool mayHaveActed = false;
+    bool mayHaveTakenEffect = false;
 };
 
 struct RequestTable
@@ -72,6 +72,6 @@
 
 Schema::Frame forwardFrame(const Request &request);
 /// What is known when nobody could be asked in time.
-Schema::JobAnswer unansweredAnswer(const Request &request);
+Schema::JobAnswer ownerUnreachableAnswer(const Request &request);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Jobs/Router.cpp
+++ b/Source/Core/Dispatch/Jobs/Router.cpp
@@ -1,6 +1,6 @@
 #include "Dispatch/Jobs/Router.h"
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Jobs/Submissions.h"
 
 namespace Dispatch {
@@ -10,22 +10,22 @@
 namespace {
 
 constexpr const char *RetriedCounter = "auburntrail_forward_retries_total";
-constexpr std::int64_t NotOwnerRetryMs = 50;
+constexpr std::int64_t NotOwnerRetryDelayMs = 50;
 
-Effects askOwnLedger(GatewayState &state, const std::string &requestId, ForwardKind kind,
-                     Common::Moment now)
+Effects handleLocally(GatewayState &state, const std::string &requestId, ForwardKind kind,
+                      Common::Moment now)
 {
     switch (kind) {
     case ForwardKind::Submit:
-        return ownerSubmit(state, requestId, now);
+        return handleSubmit(state, requestId, now);
     case ForwardKind::Cancel:
-        return ownerCancel(state, requestId);
+        return handleCancel(state, requestId);
     default:
-        return ownerGet(state, requestId);
+        return handleGet(state, requestId);
     }
 }
 
-Effects sendElsewhere(GatewayState &state, Request &request, const std::string &owner)
+Effects forwardRequest(GatewayState &state, Request &request, const std::string &owner)
 {
     if (!request.fromGateway.empty()) {
         // A forwarded request is not forwarded again: two gateways with different tables would pass
@@ -56,21 +56,21 @@
     }
     if (*owner != state.self.instance) {
         const bool isReachable = peerLive(state.site.ownership, *owner, now);
-        return isReachable ? sendElsewhere(state, *request, *owner) : Effects{};
+        return isReachable ? forwardRequest(state, *request, *owner) : Effects{};
     }
     if (shardPhase(state.site.ownership, shard) != ShardPhase::Serving
         || !ownershipConfirmed(state.site.ownership, now)) {
         return {};
     }
-    return askOwnLedger(state, requestId, request->kind, now);
+    return handleLocally(state, requestId, request->kind, now);
 }
 
-Effects routeHeld(GatewayState &state, Common::Moment now)
+Effects routeHeldRequests(GatewayState &state, Common::Moment now)
 {
     Effects effects;
     for (const std::string &id : overdueRequests(state.requests, now)) {
         const Request *request = findRequest(state.requests, id);
-        append(effects, answerRequest(state, id, unansweredAnswer(*request)));
+        append(effects, answerRequest(state, id, ownerUnreachableAnswer(*request)));
     }
     for (const std::string &id : heldRequests(state.requests, now)) {
         append(effects, routeRequest(state, id, now));
@@ -78,8 +78,8 @@
     return effects;
 }
 
-Effects forwardHeard(GatewayState &state, const std::string &gateway,
-                     const Schema::Forward &forward, Common::Moment now)
+Effects handleForward(GatewayState &state, const std::string &gateway,
+                      const Schema::Forward &forward, Common::Moment now)
 {
     Request request;
     request.fromGateway = gateway;
@@ -93,8 +93,8 @@
     return routeRequest(state, id, now);
 }
 
-Effects forwardAnswered(GatewayState &state, const Schema::ForwardAnswer &answer,
-                        Common::Moment now)
+Effects handleForwardAnswer(GatewayState &state, const Schema::ForwardAnswer &answer,
+                            Common::Moment now)
 {
     Request *request = findRequest(state.requests, answer.requestId);
     if (request == nullptr || request->stage != RequestStage::Forwarded) {
@@ -104,15 +104,15 @@
         return answerRequest(state, answer.requestId, *answer.answer);
     }
     // Its table is older or newer than ours; a moment later one of them has caught up.
-    holdRequest(state.requests, *request, now.steadyMs + NotOwnerRetryMs);
+    holdRequest(state.requests, *request, now.steadyMs + NotOwnerRetryDelayMs);
     return {CountReason{RetriedCounter, Schema::Reason::OwnerUnreachable}};
 }
 
-std::string mintJobId(const GatewayState &state, Common::Random &random)
+std::string generateJobId(const GatewayState &state, Common::Random &random)
 {
-    constexpr int Tries = 4096;
+    constexpr int MaxAttempts = 4096;
     std::string id;
-    for (int attempt = 0; attempt < Tries; ++attempt) {
+    for (int attempt = 0; attempt < MaxAttempts; ++attempt) {
         id = Common::randomId(random);
         if (shardPhase(state.site.ownership, shardOf(state.ledger, id)) == ShardPhase::Serving) {
             break;
--- a/Source/Core/Dispatch/Jobs/Submissions.cpp
+++ b/Source/Core/Dispatch/Jobs/Submissions.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <optional>
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Jobs/TaskStarts.h"
 #include "Dispatch/Persistence/JobAnswers.h"
 
@@ -43,8 +43,8 @@
 
 /// An id that an earlier owner may have acted on without trace: it is never started, and every
 /// submission of it gets the same answer.
-Effects answerUnknowable(GatewayState &state, const std::string &requestId,
-                         const Schema::SubmitJob &submit, Reason reason)
+Effects answerUnknownOutcome(GatewayState &state, const std::string &requestId,
+                             const Schema::SubmitJob &submit, Reason reason)
 {
     JobEntry &job = addRecoveredJob(state.ledger, *submit.id,
                                     static_cast<std::int64_t>(submit.tasks.size()),
@@ -74,8 +74,8 @@
 }
 
 /// First sight of the id in this ledger; the journal may still know it.
-Effects submitUnseen(GatewayState &state, const std::string &requestId,
-                     const Schema::SubmitJob &submit, Common::Moment now)
+Effects submitUnknownJob(GatewayState &state, const std::string &requestId,
+                         const Schema::SubmitJob &submit, Common::Moment now)
 {
     const std::int64_t shard = shardOf(state.ledger, *submit.id);
     const std::int64_t firstMs = submit.firstSubmittedMs.value_or(now.wallMs);
@@ -86,16 +86,16 @@
     }
     const JobHistory history = jobHistory(state.site, *submit.id, firstMs);
     if (history == JobHistory::Journaled) {
-        const auto proven = state.recovery.provenSinceMs.find(shard);
-        const bool isProvedNotStarted = proven != state.recovery.provenSinceMs.end() && intent
-                                        && intent->firstSubmittedMs >= proven->second;
+        const auto proven = state.recovery.provenNotStartedSinceMs.find(shard);
+        const bool isProvedNotStarted = proven != state.recovery.provenNotStartedSinceMs.end()
+                                        && intent && intent->firstSubmittedMs >= proven->second;
         if (!isProvedNotStarted) {
-            return answerUnknowable(state, requestId, submit, Reason::TaskLost);
+            return answerUnknownOutcome(state, requestId, submit, Reason::TaskLost);
         }
         return acceptJob(state, requestId, submit, now);
     }
     if (history == JobHistory::Unknown) {
-        return answerUnknowable(state, requestId, submit, Reason::PredecessorUnlogged);
+        return answerUnknownOutcome(state, requestId, submit, Reason::PredecessorUnlogged);
     }
     const Schema::Configuration &config = configuration(state.site.config);
     if (!isKnownTeam(config, submit.team)) {
@@ -109,8 +109,8 @@
 }
 
 /// The content of a job that this owner knew only by its traces.
-Effects resumeJob(GatewayState &state, const std::string &requestId, JobEntry &job,
-                  const Schema::SubmitJob &submit, Common::Moment now)
+Effects resumeRecoveredJob(GatewayState &state, const std::string &requestId, JobEntry &job,
+                           const Schema::SubmitJob &submit, Common::Moment now)
 {
     if (submit.tasks.size() != job.tasks.size()) {
         return refuseRequest(state, requestId, Reason::IdConflict,
@@ -123,29 +123,29 @@
 
 } // namespace
 
-Effects ownerSubmit(GatewayState &state, const std::string &requestId, Common::Moment now)
+Effects handleSubmit(GatewayState &state, const std::string &requestId, Common::Moment now)
 {
     const Schema::SubmitJob submit = *findRequest(state.requests, requestId)->submit;
-    std::optional<Common::Failure> wrongTime;
+    std::optional<Common::Failure> timeFailure;
     Common::handle([&] { return checkTimes(state.ledger, submit, now); },
-                   [&](const Common::Failure &failure) { wrongTime = failure; });
+                   [&](const Common::Failure &failure) { timeFailure = failure; });
     JobEntry *job = findJob(state.ledger, *submit.id);
-    const SubmitVerdict verdict = lookUp(state.ledger, submit);
-    const bool isNew = verdict == SubmitVerdict::New || verdict == SubmitVerdict::Refused;
+    const SubmitVerdict status = lookUp(state.ledger, submit);
+    const bool isNew = status == SubmitVerdict::New || status == SubmitVerdict::Refused;
     // A deadline that has passed does not take back the answer of a job that has ended.
-    if (wrongTime && isNew) {
+    if (timeFailure && isNew) {
         const bool mayHaveRun =
-                wrongTime->reason == Reason::DeadlinePassed && verdict == SubmitVerdict::New
+                timeFailure->reason == Reason::DeadlinePassed && status == SubmitVerdict::New
                 && jobHistory(state.site, *submit.id, submit.firstSubmittedMs.value_or(0))
                            != JobHistory::NeverStarted;
         if (mayHaveRun) {
-            return answerUnknowable(state, requestId, submit, Reason::TaskLost);
+            return answerUnknownOutcome(state, requestId, submit, Reason::TaskLost);
         }
-        return refuseRequest(state, requestId, wrongTime->reason, wrongTime->detail);
+        return refuseRequest(state, requestId, timeFailure->reason, timeFailure->detail);
     }
-    switch (verdict) {
+    switch (status) {
     case SubmitVerdict::New:
-        return submitUnseen(state, requestId, submit, now);
+        return submitUnknownJob(state, requestId, submit, now);
     case SubmitVerdict::Refused:
         removeJob(state.ledger, *submit.id);
         return acceptJob(state, requestId, submit, now);
@@ -159,10 +159,10 @@
     case SubmitVerdict::Recovered:
         break;
     }
-    return resumeJob(state, requestId, *job, submit, now);
+    return resumeRecoveredJob(state, requestId, *job, submit, now);
 }
 
-Effects ownerGet(GatewayState &state, const std::string &requestId)
+Effects handleGet(GatewayState &state, const std::string &requestId)
 {
     const Request *request = findRequest(state.requests, requestId);
     JobEntry *job = findJob(state.ledger, request->job);
@@ -179,14 +179,14 @@
     return answerRequest(state, requestId, pendingAnswer(*job));
 }
 
-Effects ownerCancel(GatewayState &state, const std::string &requestId)
+Effects handleCancel(GatewayState &state, const std::string &requestId)
 {
     JobEntry *job = findJob(state.ledger, findRequest(state.requests, requestId)->job);
     if (job != nullptr && !job->answer) {
         job->waiters.push_back(requestId);
         return finishJob(state, *job, givenUpAnswer(*job, Reason::Cancelled));
     }
-    return ownerGet(state, requestId);
+    return handleGet(state, requestId);
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Jobs/Submissions.h
+++ b/Source/Core/Dispatch/Jobs/Submissions.h
@@ -9,8 +9,8 @@
 /// may have started is answered, not started.
 namespace Dispatch {
 
-Effects ownerSubmit(GatewayState &state, const std::string &requestId, Common::Moment now);
-Effects ownerGet(GatewayState &state, const std::string &requestId);
-Effects ownerCancel(GatewayState &state, const std::string &requestId);
+Effects handleSubmit(GatewayState &state, const std::string &requestId, Common::Moment now);
+Effects handleGet(GatewayState &state, const std::string &requestId);
+Effects handleCancel(GatewayState &state, const std::string &requestId);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Jobs/TaskReports.cpp
+++ b/Source/Core/Dispatch/Jobs/TaskReports.cpp
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Persistence/JobAnswers.h"
 
 namespace Dispatch {
@@ -19,7 +19,7 @@
 void releaseSlot(GatewayState &state, const std::string &agent, const TaskKey &task,
                  const Schema::TaskState &report, Common::Moment now)
 {
-    taskLeft(state.agents, agent, task);
+    removeAgentTask(state.agents, agent, task);
     if (report.phase == TaskPhase::Unknown) {
         taskAbandoned(state.scheduler, task, agent, now);
         return;
@@ -28,10 +28,11 @@
               report.runMs.value_or(0), now);
 }
 
-Effects taskRefused(GatewayState &state, JobEntry &job, const std::string &agent,
-                    const TaskKey &task, Reason reason, Common::Moment now, Common::Random &random)
+Effects handleRefusedTask(GatewayState &state, JobEntry &job, const std::string &agent,
+                          const TaskKey &task, Reason reason, Common::Moment now,
+                          Common::Random &random)
 {
-    taskLeft(state.agents, agent, task);
+    removeAgentTask(state.agents, agent, task);
     const RetryDecision decision =
             taskNotStarted(state.scheduler, task, agent, reason, now, random);
     Effects effects{CountReason{RetriedCounter, reason}};
@@ -42,19 +43,19 @@
     return effects;
 }
 
-Effects reportApplied(GatewayState &state, JobEntry &job, const std::string &agent,
-                      const Schema::TaskState &report, ReportEffect effect, Common::Moment now,
-                      Common::Random &random)
+Effects handleReportEffect(GatewayState &state, JobEntry &job, const std::string &agent,
+                           const Schema::TaskState &report, ReportEffect effect, Common::Moment now,
+                           Common::Random &random)
 {
     const TaskKey task{report.job, static_cast<int>(report.index)};
     switch (effect) {
     case ReportEffect::Nothing:
         return {};
     case ReportEffect::Running:
-        taskWith(state.agents, agent, task);
+        addAgentTask(state.agents, agent, task);
         return {};
     case ReportEffect::NotStarted:
-        return taskRefused(state, job, agent, task, report.reason, now, random);
+        return handleRefusedTask(state, job, agent, task, report.reason, now, random);
     case ReportEffect::Ended:
     case ReportEffect::Lost:
         releaseSlot(state, agent, task, report, now);
@@ -66,7 +67,7 @@
 }
 
 /// A task of a job that neither the ledger nor the journal knows: it was started unlogged.
-JobEntry &addEvidence(GatewayState &state, const Schema::TaskState &report, Common::Moment now)
+JobEntry &addReportedJob(GatewayState &state, const Schema::TaskState &report, Common::Moment now)
 {
     const std::optional<JournaledIntent> intent = findIntent(state.site.journal, report.job);
     if (intent) {
@@ -78,7 +79,7 @@
     return job;
 }
 
-bool takesReports(const GatewayState &state, std::int64_t shard)
+bool acceptsReports(const GatewayState &state, std::int64_t shard)
 {
     const ShardPhase phase = shardPhase(state.site.ownership, shard);
     return phase == ShardPhase::NeedsReports || phase == ShardPhase::Serving;
@@ -86,23 +87,24 @@
 
 } // namespace
 
-Effects tasksReported(GatewayState &state, const std::string &agent,
-                      const Schema::TaskStates &report, Common::Moment now, Common::Random &random)
+Effects handleTaskReports(GatewayState &state, const std::string &agent,
+                          const Schema::TaskStates &report, Common::Moment now,
+                          Common::Random &random)
 {
     Effects effects;
     Schema::TaskRefs acknowledged;
     for (const Schema::TaskState &task : report.states) {
         const std::int64_t shard = shardOf(state.ledger, task.job);
-        if (!takesReports(state, shard)) {
+        if (!acceptsReports(state, shard)) {
             continue;
         }
         JobEntry *job = findJob(state.ledger, task.job);
         if (job == nullptr && task.phase != TaskPhase::NotStarted) {
-            job = &addEvidence(state, task, now);
+            job = &addReportedJob(state, task, now);
         }
         if (job != nullptr) {
             const ReportEffect effect = applyReport(*job, task, agent);
-            append(effects, reportApplied(state, *job, agent, task, effect, now, random));
+            append(effects, handleReportEffect(state, *job, agent, task, effect, now, random));
         }
         if (task.phase != TaskPhase::Running) {
             Schema::TaskRef ref;
@@ -120,9 +122,9 @@
     return effects;
 }
 
-Effects agentGone(GatewayState &state, const std::string &agent, Common::Moment now)
+Effects removeLostAgent(GatewayState &state, const std::string &agent, Common::Moment now)
 {
-    Effects effects{Note{"agent_gone", {{"agent", agent}}}};
+    Effects effects{LogLine{"agent_gone", {{"agent", agent}}}};
     for (const TaskKey &task : removeAgent(state.agents, agent, now)) {
         taskAbandoned(state.scheduler, task, agent, now);
         JobEntry *job = findJob(state.ledger, task.job);
--- a/Source/Core/Dispatch/Jobs/TaskStarts.cpp
+++ b/Source/Core/Dispatch/Jobs/TaskStarts.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <utility>
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Persistence/JobAnswers.h"
 
 namespace Dispatch {
@@ -62,7 +62,7 @@
     state.awaitingIntent.insert(job.id);
 }
 
-void journalIfMissing(GatewayState &state, const JobEntry &job, Common::Moment now)
+void addMissingIntent(GatewayState &state, const JobEntry &job, Common::Moment now)
 {
     if (!job.digest.empty() && !findIntent(state.site.journal, job.id)) {
         addIntent(state.site.journal, intentOf(job), now);
@@ -83,18 +83,18 @@
         if (task.stage == TaskStage::Sent && !task.agent.empty()) {
             const TaskKey key{job.id, static_cast<int>(index)};
             taskAdopted(state.scheduler, key, task.agent, now);
-            taskWith(state.agents, task.agent, key);
+            addAgentTask(state.agents, task.agent, key);
         }
     }
     if (job.startable) {
         jobRunnable(state.scheduler, job.id, now);
         return;
     }
-    journalIfMissing(state, job, now);
+    addMissingIntent(state, job, now);
     state.awaitingIntent.insert(job.id);
 }
 
-Effects releaseJournaled(GatewayState &state, Common::Moment now)
+Effects releaseJournaledJobs(GatewayState &state, Common::Moment now)
 {
     takeNewlyDurable(state.site.journal);
     Effects effects;
@@ -113,7 +113,7 @@
         job->unlogged = intent == IntentState::Unlogged;
         jobRunnable(state.scheduler, job->id, now);
         const std::vector<std::string> accepted = std::exchange(job->acceptWaiters, {});
-        append(effects, answerAll(state, accepted, pendingAnswer(*job)));
+        append(effects, answerRequests(state, accepted, pendingAnswer(*job)));
     }
     return effects;
 }
@@ -131,7 +131,7 @@
         JobEntry *job = findJob(state.ledger, assignment.task.job);
         Common::invariant(job != nullptr && job->submit, "a task that is placed belongs to a job",
                           assignment.task.job);
-        taskWith(state.agents, assignment.agent, assignment.task);
+        addAgentTask(state.agents, assignment.agent, assignment.task);
         starts[assignment.agent].tasks.push_back(startMessage(state, *job, assignment));
     }
     Effects effects;
--- a/Source/Core/Dispatch/Jobs/TaskStarts.h
+++ b/Source/Core/Dispatch/Jobs/TaskStarts.h
@@ -12,11 +12,11 @@
 void awaitIntent(GatewayState &state, const JobEntry &job, Common::Moment now);
 /// Adds the job's intent to the journal where it has none: an earlier owner may have started the
 /// job while the log was away.
-void journalIfMissing(GatewayState &state, const JobEntry &job, Common::Moment now);
+void addMissingIntent(GatewayState &state, const JobEntry &job, Common::Moment now);
 /// Gives the scheduler the job's tasks that have not started, once its intent allows it.
 void scheduleJob(GatewayState &state, JobEntry &job, Common::Moment now);
 /// Jobs whose intents have become durable, or may start without.
-Effects releaseJournaled(GatewayState &state, Common::Moment now);
+Effects releaseJournaledJobs(GatewayState &state, Common::Moment now);
 /// Sends waiting tasks to agents with room.
 Effects startTasks(GatewayState &state, Common::Moment now, Common::Random &random);
 
--- a/Source/Core/Dispatch/Ownership/Ownership.cpp
+++ b/Source/Core/Dispatch/Ownership/Ownership.cpp
@@ -132,7 +132,7 @@
     }
     mergeTable(state.table, state.fromLog);
     reconcileRoles(state, now);
-    return {Note{"control_lost", {{"before", std::to_string(state.gapEnd)}}}};
+    return {LogLine{"control_lost", {{"before", std::to_string(state.gapEnd)}}}};
 }
 
 bool heldByUs(ShardPhase phase)
--- a/Source/Core/Dispatch/Ownership/Quorum.cpp
+++ b/Source/Core/Dispatch/Ownership/Quorum.cpp
@@ -185,7 +185,7 @@
         }
         if (role.phase == ShardPhase::Fencing && leaseOver(state, role.phaseSinceMs, now)) {
             endFencing(state, role, now);
-            effects.push_back(Note{
+            effects.push_back(LogLine{
                     "shard_fenced",
                     {{"shard", std::to_string(shard)}, {"epoch", std::to_string(role.epoch)}}});
         }
--- a/Source/Core/Dispatch/Ownership/Transfer.cpp
+++ b/Source/Core/Dispatch/Ownership/Transfer.cpp
@@ -32,7 +32,7 @@
         const TaskEntry &task = job.tasks[index];
         if (task.stage == TaskStage::Sent && !task.agent.empty()) {
             const TaskKey key{job.id, static_cast<int>(index)};
-            taskLeft(state.agents, task.agent, key);
+            removeAgentTask(state.agents, task.agent, key);
             taskAbandoned(state.scheduler, key, task.agent, now);
         }
     }
@@ -47,7 +47,7 @@
     for (const std::string &id : jobsOfShard(state.ledger, shard)) {
         letGo(state, *findJob(state.ledger, id), now);
     }
-    state.recovery.provenSinceMs.erase(shard);
+    state.recovery.provenNotStartedSinceMs.erase(shard);
 }
 
 Schema::Frame handoverFrame(const Schema::Handover &handover)
@@ -98,9 +98,9 @@
 {
     Effects effects = repeatOffers(state, now);
     for (const WantedHandover &wanted : wantedHandovers(state.site.ownership, now)) {
-        effects.emplace_back(Note{"handover_offered",
-                                  {{"successor", wanted.successor},
-                                   {"shards", std::to_string(wanted.shards.size())}}});
+        effects.emplace_back(LogLine{"handover_offered",
+                                     {{"successor", wanted.successor},
+                                      {"shards", std::to_string(wanted.shards.size())}}});
         for (const std::int64_t shard : wanted.shards) {
             append(effects, offerShard(state, shard, wanted.successor, now, random));
         }
@@ -122,7 +122,7 @@
         if (job == nullptr) {
             continue;
         }
-        journalIfMissing(state, *job, now);
+        addMissingIntent(state, *job, now);
         if (job->answer || !job->submit) {
             continue;
         }
--- a/Source/Core/Dispatch/Persistence/Journal.cpp
+++ b/Source/Core/Dispatch/Persistence/Journal.cpp
@@ -96,7 +96,7 @@
     }
     state.unloggedSinceMs = sinceMs;
     state.lastDeclaredMs = sinceMs;
-    return {Note{"journal_unlogged", {{"since_ms", std::to_string(sinceMs)}}}};
+    return {LogLine{"journal_unlogged", {{"since_ms", std::to_string(sinceMs)}}}};
 }
 
 void readWindows(JournalState &state, const Schema::LogRecord &record)
@@ -214,9 +214,9 @@
 {
     Effects effects;
     if (read.oldestOffset > state.readOffset && state.readOnce) {
-        effects.push_back(Note{"journal_gap",
-                               {{"from", std::to_string(state.readOffset)},
-                                {"to", std::to_string(read.oldestOffset)}}});
+        effects.push_back(LogLine{"journal_gap",
+                                  {{"from", std::to_string(state.readOffset)},
+                                   {"to", std::to_string(read.oldestOffset)}}});
     }
     for (const Schema::LogEntry &entry : read.entries) {
         if (entry.offset >= state.readOffset) {
--- a/Source/Core/Dispatch/Persistence/Recovery.cpp
+++ b/Source/Core/Dispatch/Persistence/Recovery.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Jobs/TaskReports.h"
 
 namespace Dispatch {
@@ -42,15 +42,16 @@
 
 std::string nextQuestion(GatewayState &state)
 {
-    return "q" + std::to_string(++state.lastQuestion);
+    return "q" + std::to_string(++state.lastRequestNumber);
 }
 
 std::int64_t completeSince(const GatewayState &state, Common::Moment now)
 {
     const std::int64_t sinceStart = state.startedWallMs;
     const std::int64_t lastGoneWall =
-            state.agents.lastGoneMs == 0 ? 0
-                                         : now.wallMs - (now.steadyMs - state.agents.lastGoneMs);
+            state.agents.lastRemovalMs == 0
+                    ? 0
+                    : now.wallMs - (now.steadyMs - state.agents.lastRemovalMs);
     return std::max(sinceStart, lastGoneWall) + state.settings.agentSilenceMs + ClockMarginMs;
 }
 
@@ -66,7 +67,7 @@
 Effects askNewAgents(GatewayState &state, Takeover &takeover)
 {
     Effects effects;
-    for (const std::string &agent : linkedAgents(state.agents)) {
+    for (const std::string &agent : connectedAgents(state.agents)) {
         if (takeover.agentsAsked.insert(agent).second) {
             takeover.agentsKnown.insert(agent);
             effects.push_back(askFrame(state, agent, takeover.requestId, takeover.shards));
@@ -111,7 +112,8 @@
     takeover.startedMs = now.steadyMs;
     takeover.gatewaysAnswered.insert(state.self.instance);
     takeover.completeSinceMs = completeSince(state, now);
-    Effects effects{Note{"takeover_begun", {{"shards", std::to_string(takeover.shards.size())}}}};
+    Effects effects{
+            LogLine{"takeover_begun", {{"shards", std::to_string(takeover.shards.size())}}}};
     state.recovery.takeovers.push_back(std::move(takeover));
     return effects;
 }
@@ -134,7 +136,7 @@
 }
 
 /// Settles the tasks that nobody has told of: not started where that is proved, lost elsewhere.
-Effects settleTraces(GatewayState &state, std::int64_t shard, std::int64_t provenSinceMs)
+Effects settleTraces(GatewayState &state, std::int64_t shard, std::int64_t provenNotStartedSinceMs)
 {
     Effects effects;
     for (const std::string &id : jobsOfShard(state.ledger, shard)) {
@@ -147,7 +149,7 @@
             if (task.stage != TaskStage::Sent || !task.agent.empty()) {
                 continue;
             }
-            if (job->firstSubmittedMs >= provenSinceMs) {
+            if (job->firstSubmittedMs >= provenNotStartedSinceMs) {
                 markNotStarted(*job, static_cast<std::int64_t>(index));
             } else {
                 markLost(*job, static_cast<std::int64_t>(index));
@@ -161,18 +163,18 @@
 Effects endTakeover(GatewayState &state, const Takeover &takeover, bool isComplete,
                     Common::Moment now)
 {
-    const std::int64_t provenSinceMs =
+    const std::int64_t provenNotStartedSinceMs =
             isComplete ? takeover.completeSinceMs : now.wallMs + ClockMarginMs;
-    Effects effects{Note{"takeover_ended",
-                         {{"shards", std::to_string(takeover.shards.size())},
-                          {"complete", isComplete ? "true" : "false"},
-                          {"agents", std::to_string(takeover.agentsAnswered.size())}}}};
+    Effects effects{LogLine{"takeover_ended",
+                            {{"shards", std::to_string(takeover.shards.size())},
+                             {"complete", isComplete ? "true" : "false"},
+                             {"agents", std::to_string(takeover.agentsAnswered.size())}}}};
     for (const std::int64_t shard : takeover.shards) {
         if (shardPhase(state.site.ownership, shard) != ShardPhase::NeedsReports) {
             continue;
         }
-        state.recovery.provenSinceMs[shard] = provenSinceMs;
-        append(effects, settleTraces(state, shard, provenSinceMs));
+        state.recovery.provenNotStartedSinceMs[shard] = provenNotStartedSinceMs;
+        append(effects, settleTraces(state, shard, provenNotStartedSinceMs));
         serveShard(state.site, shard, now);
     }
     return effects;
@@ -186,7 +188,7 @@
         listed.emplace(task.job, task.index);
     }
     std::vector<SentTask> unlisted;
-    for (const SentTask &sent : record.questionTasks) {
+    for (const SentTask &sent : record.requestedTasks) {
         if (listed.count({sent.task.job, sent.task.index}) == 0) {
             unlisted.push_back(sent);
         }
@@ -249,18 +251,18 @@
         return {};
     }
     std::set<std::int64_t> shards;
-    record.questionTasks.clear();
+    record.requestedTasks.clear();
     for (const auto &[id, index] : record.tasks) {
         shards.insert(shardOf(state.ledger, id));
         const JobEntry *job = findJob(state.ledger, id);
         if (job != nullptr) {
             const TaskEntry &task = job->tasks[static_cast<std::size_t>(index)];
-            record.questionTasks.push_back(
+            record.requestedTasks.push_back(
                     {{id, static_cast<int>(index)}, task.epoch, task.attempt});
         }
     }
-    record.openQuestion = nextQuestion(state);
-    return {askFrame(state, agent, record.openQuestion, {shards.begin(), shards.end()})};
+    record.pendingReportRequest = nextQuestion(state);
+    return {askFrame(state, agent, record.pendingReportRequest, {shards.begin(), shards.end()})};
 }
 
 Effects questionAnswered(GatewayState &state, const std::string &agent,
@@ -275,10 +277,10 @@
     }
     const auto found = state.agents.agents.find(agent);
     if (question.empty() || found == state.agents.agents.end()
-        || found->second.openQuestion != question) {
+        || found->second.pendingReportRequest != question) {
         return {};
     }
-    found->second.openQuestion.clear();
+    found->second.pendingReportRequest.clear();
     Schema::TaskStates missing;
     for (const SentTask &sent : unlistedTasks(found->second, report)) {
         Schema::TaskState row;
@@ -290,7 +292,7 @@
         row.reason = Schema::Reason::ConnectionLost;
         missing.states.push_back(std::move(row));
     }
-    return tasksReported(state, agent, missing, now, random);
+    return handleTaskReports(state, agent, missing, now, random);
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Query/QueryLanguage.cpp
+++ b/Source/Core/Dispatch/Query/QueryLanguage.cpp
@@ -79,7 +79,7 @@
 {
     std::vector<Token> tokens;
     std::size_t next = 0;
-    std::optional<QueryFault> fault;
+    std::optional<QueryError> error;
 
     const Token &peek() const { return this->tokens[this->next]; }
 
@@ -99,8 +99,8 @@
 
     void fail(const std::string &expected)
     {
-        if (!this->fault) {
-            this->fault = QueryFault{this->peek().column, expected};
+        if (!this->error) {
+            this->error = QueryError{this->peek().column, expected};
         }
     }
 
@@ -183,12 +183,12 @@
     } while (parser.takeIf(","));
 }
 
-void parseRest(Parser &parser, Query &query)
+void parseClauses(Parser &parser, Query &query)
 {
     if (parser.takeIf("where")) {
         do {
             query.conditions.push_back(parseCondition(parser));
-        } while (!parser.fault && parser.takeIf("and"));
+        } while (!parser.error && parser.takeIf("and"));
     }
     if (parser.takeIf("order")) {
         parser.expect("by");
@@ -224,7 +224,7 @@
     return leftNumber < rightNumber ? -1 : static_cast<int>(leftNumber > rightNumber);
 }
 
-bool meets(const QueryCondition &condition, const std::string &value)
+bool meetsCondition(const QueryCondition &condition, const std::string &value)
 {
     const int order = compareValues(value, condition.value);
     switch (condition.comparison) {
@@ -261,7 +261,7 @@
 
 } // namespace
 
-std::variant<Query, QueryFault> parseQuery(const std::string &text)
+std::variant<Query, QueryError> parseQuery(const std::string &text)
 {
     Parser parser;
     parser.tokens = tokenize(text);
@@ -276,9 +276,9 @@
     if (counts) {
         parseCountFields(parser, query);
     }
-    parseRest(parser, query);
-    if (parser.fault) {
-        return *parser.fault;
+    parseClauses(parser, query);
+    if (parser.error) {
+        return *parser.error;
     }
     return query;
 }
@@ -303,14 +303,15 @@
 
 void filterRows(const Query &query, QueryRows &rows)
 {
-    const auto fails = [&](const QueryRow &row) {
+    const auto isRejected = [&](const QueryRow &row) {
         return std::any_of(query.conditions.begin(), query.conditions.end(),
                            [&](const QueryCondition &condition) {
-                               return !meets(condition,
-                                             row[columnOf(rows.columns, condition.field)]);
+                               return !meetsCondition(condition,
+                                                      row[columnOf(rows.columns, condition.field)]);
                            });
     };
-    rows.rows.erase(std::remove_if(rows.rows.begin(), rows.rows.end(), fails), rows.rows.end());
+    rows.rows.erase(std::remove_if(rows.rows.begin(), rows.rows.end(), isRejected),
+                    rows.rows.end());
 }
 
 void shapeRows(const Query &query, QueryRows &rows)
--- a/Source/Core/Dispatch/Query/QueryLanguage.h
+++ b/Source/Core/Dispatch/Query/QueryLanguage.h
@@ -38,14 +38,14 @@
 };
 
 /// Where a text is wrong, and what was expected there.
-struct QueryFault
+struct QueryError
 {
     /// From 1.
     std::size_t column = 1;
     std::string expected;
 };
 
-std::variant<Query, QueryFault> parseQuery(const std::string &text);
+std::variant<Query, QueryError> parseQuery(const std::string &text);
 
 using QueryRow = std::vector<std::string>;
 
--- a/Source/Core/Dispatch/Query/SiteQuery.cpp
+++ b/Source/Core/Dispatch/Query/SiteQuery.cpp
@@ -123,7 +123,7 @@
     return rows;
 }
 
-QueryRows ownRows(const GatewayState &state, const Query &query, Common::Moment now)
+QueryRows localRows(const GatewayState &state, const Query &query, Common::Moment now)
 {
     switch (query.table) {
     case QueryTable::Jobs:
@@ -149,7 +149,7 @@
     return query.table == QueryTable::Jobs || query.table == QueryTable::Tasks;
 }
 
-Schema::QueryAnswer faultAnswer(std::size_t column, const std::string &error)
+Schema::QueryAnswer errorAnswer(std::size_t column, const std::string &error)
 {
     Schema::QueryAnswer answer;
     answer.ok = false;
@@ -177,28 +177,28 @@
 
 } // namespace
 
-Effects queryAsked(GatewayState &state, const std::string &token, const std::string &text,
-                   Common::Moment now)
+Effects handleQuery(GatewayState &state, const std::string &token, const std::string &text,
+                    Common::Moment now)
 {
     const auto parsed = parseQuery(text);
-    if (const auto *fault = std::get_if<QueryFault>(&parsed)) {
-        return {AnswerQuery{token, faultAnswer(fault->column, "expected " + fault->expected)}};
+    if (const auto *error = std::get_if<QueryError>(&parsed)) {
+        return {AnswerQuery{token, errorAnswer(error->column, "expected " + error->expected)}};
     }
     PendingQuery pending;
     pending.token = token;
     pending.query = std::get<Query>(parsed);
-    pending.rows = ownRows(state, pending.query, now);
+    pending.rows = localRows(state, pending.query, now);
     const std::string unknown = unknownField(pending.query, pending.rows.columns);
     if (!unknown.empty()) {
         std::string known;
         for (const std::string &column : pending.rows.columns) {
             known += (known.empty() ? "" : ", ") + column;
         }
-        return {AnswerQuery{token, faultAnswer(text.find(unknown) + 1,
+        return {AnswerQuery{token, errorAnswer(text.find(unknown) + 1,
                                                "no field " + unknown + "; expected " + known)}};
     }
     filterRows(pending.query, pending.rows);
-    pending.requestId = "y" + std::to_string(++state.lastQuestion);
+    pending.requestId = "y" + std::to_string(++state.lastRequestNumber);
     pending.endsAtMs = now.steadyMs + PartTimeoutMs;
     Effects effects;
     for (const Schema::Member &member : state.site.ownership.table.roster) {
@@ -223,8 +223,8 @@
     return effects;
 }
 
-Effects queryPartAsked(const GatewayState &state, const std::string &gateway,
-                       const Schema::Forward &forward, Common::Moment now)
+Effects handleQueryPart(const GatewayState &state, const std::string &gateway,
+                        const Schema::Forward &forward, Common::Moment now)
 {
     Schema::Frame frame = frameOf(Schema::FrameType::ForwardAnswer);
     frame.forwardAnswer.emplace();
@@ -233,7 +233,7 @@
     const auto *query = std::get_if<Query>(&parsed);
     QueryRows rows;
     if (query != nullptr) {
-        rows = ownRows(state, *query, now);
+        rows = localRows(state, *query, now);
         if (unknownField(*query, rows.columns).empty()) {
             filterRows(*query, rows);
         }
@@ -243,8 +243,8 @@
     return {SendToGateway{gateway, std::move(frame)}};
 }
 
-Effects queryPartHeard(GatewayState &state, const std::string &gateway,
-                       const Schema::ForwardAnswer &answer)
+Effects handleQueryPartAnswer(GatewayState &state, const std::string &gateway,
+                              const Schema::ForwardAnswer &answer)
 {
     const auto found = std::find_if(
             state.queries.begin(), state.queries.end(),
--- a/Source/Core/Dispatch/Site.cpp
+++ b/Source/Core/Dispatch/Site.cpp
@@ -21,7 +21,7 @@
 }
 
 /// Fenced shards get one mark in the journal: what is read up to it is all that can matter.
-void markFencedShards(SiteState &site, Common::Moment now, Common::Random &random)
+void appendFencedShardsMarker(SiteState &site, Common::Moment now, Common::Random &random)
 {
     std::vector<Schema::ShardOwner> shards;
     std::vector<Schema::UnloggedWindow> windows;
@@ -42,18 +42,18 @@
     if (shards.empty()) {
         return;
     }
-    const std::string mark =
+    const std::string marker =
             markShardsTaken(site.journal, std::move(shards), std::move(windows), now, random);
     for (ShardRole *role : roles) {
-        role->journalMark = mark;
+        role->journalMark = marker;
     }
 }
 
-void passMarks(SiteState &site, Common::Moment now)
+void handleReadMarkers(SiteState &site, Common::Moment now)
 {
-    for (const std::string &mark : takeMarksRead(site.journal)) {
+    for (const std::string &marker : takeMarksRead(site.journal)) {
         for (const std::int64_t shard : shardsIn(site.ownership, ShardPhase::NeedsJournal)) {
-            if (site.ownership.roles[static_cast<std::size_t>(shard)].journalMark == mark) {
+            if (site.ownership.roles[static_cast<std::size_t>(shard)].journalMark == marker) {
                 shardJournalRead(site.ownership, shard, site.journal.windows, now);
             }
         }
@@ -61,7 +61,7 @@
 }
 
 /// The declaration goes out with heartbeats, and its acknowledgement lets starts go on.
-void exchangeDeclarations(SiteState &site)
+void updateDeclarations(SiteState &site)
 {
     setDeclaration(site.ownership, site.journal.unloggedSinceMs);
     if (site.journal.unloggedSinceMs != 0
@@ -70,7 +70,7 @@
     }
 }
 
-void fillPings(SiteState &site, Effects &effects)
+void addConfigurationToPings(SiteState &site, Effects &effects)
 {
     for (Effect &effect : effects) {
         auto *send = std::get_if<SendToGateway>(&effect);
@@ -78,10 +78,10 @@
             continue;
         }
         const auto peer = site.ownership.peers.find(send->instance);
-        const bool behind = peer != site.ownership.peers.end() && peer->second.heard
-                            && peer->second.configVersion < site.config.inForce.version;
-        if (behind) {
-            send->frame.peerPing->configuration = site.config.inForce;
+        const bool isBehind = peer != site.ownership.peers.end() && peer->second.heard
+                              && peer->second.configVersion < site.config.current.version;
+        if (isBehind) {
+            send->frame.peerPing->configuration = site.config.current;
         }
     }
 }
@@ -105,7 +105,8 @@
     return site;
 }
 
-Effects logRead(SiteState &site, LogStream stream, const LogRead &read, Common::Moment now)
+Effects handleSiteLogRead(SiteState &site, LogStream stream, const LogRead &read,
+                          Common::Moment now)
 {
     switch (stream) {
     case LogStream::Control:
@@ -113,17 +114,17 @@
     case LogStream::Journal: {
         Effects effects = journalRead(site.journal, read, now);
         site.ownership.journalOffset = site.journal.readOffset;
-        passMarks(site, now);
+        handleReadMarkers(site, now);
         return effects;
     }
     case LogStream::Config:
-        return configRead(site.config, read, now);
+        return handleConfigRead(site.config, read, now);
     }
     return {};
 }
 
-Effects appendDone(SiteState &site, LogStream stream, std::uint64_t batch, AppendStatus status,
-                   Common::Moment now)
+Effects handleSiteAppendResult(SiteState &site, LogStream stream, std::uint64_t batch,
+                               AppendStatus status, Common::Moment now)
 {
     switch (stream) {
     case LogStream::Control:
@@ -131,7 +132,7 @@
     case LogStream::Journal:
         return journalAppendDone(site.journal, batch, status, now);
     case LogStream::Config:
-        return configAppendDone(site.config, batch, status, now);
+        return handleConfigAppendResult(site.config, batch, status, now);
     }
     return {};
 }
@@ -139,23 +140,23 @@
 Effects siteTick(SiteState &site, Common::Moment now, Common::Random &random)
 {
     Effects effects = journalTick(site.journal, site.nextBatch, now, random);
-    exchangeDeclarations(site);
-    site.ownership.configVersion = site.config.inForce.version;
+    updateDeclarations(site);
+    site.ownership.configVersion = site.config.current.version;
     append(effects, ownershipTick(site.ownership, site.nextBatch, now, random));
-    markFencedShards(site, now, random);
+    appendFencedShardsMarker(site, now, random);
     append(effects,
            configTick(site.config, site.nextBatch, isFirstLive(site.ownership, now), now, random));
-    fillPings(site, effects);
+    addConfigurationToPings(site, effects);
     return effects;
 }
 
-Effects pingHeard(SiteState &site, const Schema::PeerPing &ping, Common::Moment now)
+Effects handlePing(SiteState &site, const Schema::PeerPing &ping, Common::Moment now)
 {
-    site.ownership.configVersion = site.config.inForce.version;
+    site.ownership.configVersion = site.config.current.version;
     setDeclaration(site.ownership, site.journal.unloggedSinceMs);
     Effects effects = peerHeard(site.ownership, ping, now);
-    exchangeDeclarations(site);
-    peerHasVersion(site.config, ping.configVersion);
+    updateDeclarations(site);
+    updatePeerVersion(site.config, ping.configVersion);
     const auto peer = site.ownership.peers.find(ping.instance);
     if (peer != site.ownership.peers.end()) {
         peer->second.configVersion = ping.configVersion;
@@ -163,7 +164,7 @@
     if (ping.configuration) {
         adoptConfiguration(site.config, *ping.configuration);
     }
-    fillPings(site, effects);
+    addConfigurationToPings(site, effects);
     return effects;
 }
 
--- a/Source/Core/Dispatch/Site.h
+++ b/Source/Core/Dispatch/Site.h
@@ -23,12 +23,13 @@
                    Common::Moment now, const Safeguards &safeguards = {});
 
 /// A delivery of one stream. Streams are read from offset 0 on.
-Effects logRead(SiteState &site, LogStream stream, const LogRead &read, Common::Moment now);
+Effects handleSiteLogRead(SiteState &site, LogStream stream, const LogRead &read,
+                          Common::Moment now);
 /// How an AppendToLog of this site ended.
-Effects appendDone(SiteState &site, LogStream stream, std::uint64_t batch, AppendStatus status,
-                   Common::Moment now);
+Effects handleSiteAppendResult(SiteState &site, LogStream stream, std::uint64_t batch,
+                               AppendStatus status, Common::Moment now);
 Effects siteTick(SiteState &site, Common::Moment now, Common::Random &random);
-Effects pingHeard(SiteState &site, const Schema::PeerPing &ping, Common::Moment now);
+Effects handlePing(SiteState &site, const Schema::PeerPing &ping, Common::Moment now);
 
 /// The agents' reports on a shard in ShardPhase::NeedsReports are in.
 void serveShard(SiteState &site, std::int64_t shard, Common::Moment now);
--- a/Source/Core/Gateway/GatewayCallers.cpp
+++ b/Source/Core/Gateway/GatewayCallers.cpp
@@ -92,15 +92,15 @@
     }
     case ApiCall::SetConfiguration: {
         const std::string token = this->keepReply(called.reply);
-        this->carryOut(Dispatch::configureAsked(this->control.state, token, *called.request.change,
-                                                called.request.basedOn, this->control.now,
-                                                this->control.random));
+        this->carryOut(Dispatch::handleConfigChange(this->control.state, token,
+                                                    *called.request.change, called.request.basedOn,
+                                                    this->control.now, this->control.random));
         return;
     }
     case ApiCall::Query: {
         const std::string token = this->keepReply(called.reply);
-        this->carryOut(Dispatch::queryAsked(this->control.state, token, called.request.text,
-                                            this->control.now));
+        this->carryOut(Dispatch::handleQuery(this->control.state, token, called.request.text,
+                                             this->control.now));
         return;
     }
     default:
@@ -131,8 +131,8 @@
     } else if (called.request.call == ApiCall::Cancel) {
         asked.kind = Schema::ForwardKind::Cancel;
     }
-    this->carryOut(Dispatch::callerAsked(this->control.state, std::move(asked), this->control.now,
-                                         this->control.random));
+    this->carryOut(Dispatch::handleCallerRequest(this->control.state, std::move(asked),
+                                                 this->control.now, this->control.random));
 }
 
 std::string GatewayCallers::keepReply(Net::HttpReply reply)
--- a/Source/Core/Gateway/GatewayDaemon.cpp
+++ b/Source/Core/Gateway/GatewayDaemon.cpp
@@ -50,7 +50,7 @@
     void carryOut(const Dispatch::AnswerConfigure &answer) { this->callers.answer(answer); }
     void carryOut(const Dispatch::AnswerQuery &answer) { this->callers.answer(answer); }
     void carryOut(const Dispatch::CountReason &count);
-    void carryOut(const Dispatch::Note &note);
+    void carryOut(const Dispatch::LogLine &note);
 
     GatewayControl control;
     ControlMailbox mailbox;
@@ -113,8 +113,8 @@
         for (ControlMessage &message : messages) {
             std::visit([this](auto &event) { this->on(event); }, message);
         }
-        this->carryOut(
-                Dispatch::settle(this->control.state, this->control.now, this->control.random));
+        this->carryOut(Dispatch::gatewayTick(this->control.state, this->control.now,
+                                             this->control.random));
         this->links.dialMembers();
         if (this->control.now.steadyMs
             >= this->lastHousekeepingMs + this->control.settings.heartbeatMs) {
@@ -155,7 +155,7 @@
     this->control.metrics.count(count.counter, {{"reason", Schema::enumName(count.reason)}});
 }
 
-void GatewayDaemon::Implementation::carryOut(const Dispatch::Note &note)
+void GatewayDaemon::Implementation::carryOut(const Dispatch::LogLine &note)
 {
     Common::logEvent(LogLevel::Info, note.event, note.fields);
 }
--- a/Source/Core/Gateway/GatewayLinks.cpp
+++ b/Source/Core/Gateway/GatewayLinks.cpp
@@ -71,11 +71,11 @@
     }
     for (const Schema::Frame &frame : releaseEarly(link, std::move(arrived.frame))) {
         if (kind == PeerKind::Agent) {
-            this->carryOut(Dispatch::agentFrameHeard(this->control.state, instance, frame,
-                                                     this->control.now, this->control.random));
+            this->carryOut(Dispatch::handleAgentFrame(this->control.state, instance, frame,
+                                                      this->control.now, this->control.random));
         } else {
-            this->carryOut(Dispatch::gatewayFrameHeard(this->control.state, instance, frame,
-                                                       this->control.now));
+            this->carryOut(Dispatch::handleGatewayFrame(this->control.state, instance, frame,
+                                                        this->control.now));
         }
     }
 }
@@ -94,9 +94,9 @@
     if (link.kind == PeerKind::Agent) {
         // Also where a new link of the same agent has taken its place: frames on the old one may be
         // lost, so that the agent is asked what arrived.
-        Dispatch::agentLinkLost(this->control.state, link.instance, this->control.now);
+        Dispatch::handleAgentDisconnected(this->control.state, link.instance, this->control.now);
     } else if (link.kind == PeerKind::Gateway) {
-        Dispatch::gatewayLinkLost(this->control.state, link.instance);
+        Dispatch::handleGatewayDisconnected(this->control.state, link.instance);
     }
 }
 
@@ -107,7 +107,7 @@
         this->countUndeliverable("gateway");
         // A request that could not be handed on is tried again; the owner would have answered once.
         if (send.frame.type == Schema::FrameType::Forward) {
-            Dispatch::gatewayLinkLost(this->control.state, send.instance);
+            Dispatch::handleGatewayDisconnected(this->control.state, send.instance);
         }
         return;
     }
--- a/Source/Core/Gateway/GatewayLog.cpp
+++ b/Source/Core/Gateway/GatewayLog.cpp
@@ -79,15 +79,15 @@
     read.nextOffset = delivered.read.nextOffset;
     read.atEnd = delivered.read.atEnd;
     read.oldestOffset = delivered.read.oldestOffset;
-    this->carryOut(
-            Dispatch::logHeard(this->control.state, delivered.stream, read, this->control.now));
+    this->carryOut(Dispatch::handleLogRead(this->control.state, delivered.stream, read,
+                                           this->control.now));
 }
 
 void GatewayLog::on(const LogAppended &appended)
 {
-    this->carryOut(Dispatch::appendEnded(this->control.state, appended.stream, appended.batch,
-                                         statusOfAppend(appended.result.status),
-                                         this->control.now));
+    this->carryOut(Dispatch::handleAppendResult(
+            this->control.state, appended.stream, appended.batch,
+            statusOfAppend(appended.result.status), this->control.now));
 }
 
 void GatewayLog::append(const Dispatch::AppendToLog &effect)
--- a/Source/UnitTests/Dispatch/Configuration/ConfigStoreTest.cpp
+++ b/Source/UnitTests/Dispatch/Configuration/ConfigStoreTest.cpp
@@ -71,7 +71,7 @@
             if (const auto *append = std::get_if<AppendToLog>(&effect)) {
                 this->stream.insert(this->stream.end(), append->records.begin(),
                                     append->records.end());
-                configAppendDone(this->stores[store], append->batch, status, at(ms));
+                handleConfigAppendResult(this->stores[store], append->batch, status, at(ms));
             }
         }
     }
@@ -88,7 +88,7 @@
             entry.record = this->stream[static_cast<std::size_t>(offset)];
             read.entries.push_back(std::move(entry));
         }
-        configRead(this->stores[store], read, at(ms));
+        handleConfigRead(this->stores[store], read, at(ms));
     }
 };
 
@@ -142,8 +142,8 @@
         }
         const Schema::Configuration &last = configuration(site.stores[2]);
         CHECK((last.version == 1) == on);
-        CHECK((takeChangeResults(site.stores[1]).at(0).verdict == ChangeVerdict::Conflict) == on);
-        CHECK(takeChangeResults(site.stores[0]).at(0).verdict == ChangeVerdict::Accepted);
+        CHECK((takeChangeResults(site.stores[1]).at(0).status == ChangeStatus::Conflict) == on);
+        CHECK(takeChangeResults(site.stores[0]).at(0).status == ChangeStatus::Accepted);
         CHECK(last.teams.at(0).weight == 1);
         CHECK(site.propose(1, team("quotes", 3), 0, 400) == Schema::Reason::ConfigConflict);
     }
@@ -155,7 +155,7 @@
     site.propose(0, team("quotes", 1), 0, 0);
     site.append(0, 0, AppendStatus::Durable);
     site.read(0, 10);
-    peerHasVersion(site.stores[1], 1);
+    updatePeerVersion(site.stores[1], 1);
     CHECK_FALSE(configurationReady(site.stores[1]));
     CHECK(adoptConfiguration(site.stores[1], configuration(site.stores[0])));
     CHECK(configurationReady(site.stores[1]));
--- a/Source/UnitTests/Dispatch/Ownership/SiteWorld.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/SiteWorld.cpp
@@ -55,8 +55,8 @@
     later(world, afterMs, [&world, &gateway, append, status] {
         deliver(gateway, [&world, &gateway, append, status] {
             perform(world, gateway,
-                    Dispatch::appendDone(gateway.site, append.stream, append.batch, status,
-                                         moment(world)));
+                    Dispatch::handleSiteAppendResult(gateway.site, append.stream, append.batch,
+                                                     status, moment(world)));
         });
     });
 }
@@ -90,7 +90,7 @@
         if (const auto *frame = std::get_if<Dispatch::SendToGateway>(&effect)) {
             const Schema::PeerPing ping = *frame->frame.peerPing;
             send(world, gateway.member.instance, frame->instance, [&world, ping](Gateway &to) {
-                perform(world, to, Dispatch::pingHeard(to.site, ping, moment(world)));
+                perform(world, to, Dispatch::handlePing(to.site, ping, moment(world)));
             });
         } else if (const auto *append = std::get_if<Dispatch::AppendToLog>(&effect)) {
             appendTo(world, gateway, *append);
@@ -129,8 +129,9 @@
             gateway.reading[stream] = false;
             gateway.readOffsets[stream] = read.nextOffset;
             perform(world, gateway,
-                    Dispatch::logRead(gateway.site, static_cast<Dispatch::LogStream>(stream), read,
-                                      moment(world)));
+                    Dispatch::handleSiteLogRead(gateway.site,
+                                                static_cast<Dispatch::LogStream>(stream), read,
+                                                moment(world)));
         });
     });
 }
--- a/Source/UnitTests/Dispatch/Query/QueryLanguageTest.cpp
+++ b/Source/UnitTests/Dispatch/Query/QueryLanguageTest.cpp
@@ -83,9 +83,9 @@
     for (const Row &row : rows) {
         CAPTURE(row.text);
         const auto parsed = Dispatch::parseQuery(row.text);
-        REQUIRE(std::holds_alternative<Dispatch::QueryFault>(parsed));
-        CHECK(std::get<Dispatch::QueryFault>(parsed).column == row.column);
-        CHECK(std::get<Dispatch::QueryFault>(parsed).expected.find(row.expected) == 0);
+        REQUIRE(std::holds_alternative<Dispatch::QueryError>(parsed));
+        CHECK(std::get<Dispatch::QueryError>(parsed).column == row.column);
+        CHECK(std::get<Dispatch::QueryError>(parsed).expected.find(row.expected) == 0);
     }
     const auto parsed = Dispatch::parseQuery("jobs where colour = red");
     CHECK(Dispatch::unknownField(std::get<Dispatch::Query>(parsed), {"id"}) == "colour");
--- a/Source/UnitTests/Whole/World.cpp
+++ b/Source/UnitTests/Whole/World.cpp
@@ -91,7 +91,7 @@
             const auto known = process.linkOfAgent.find(instance);
             if (known != process.linkOfAgent.end() && known->second == index) {
                 process.linkOfAgent.erase(known);
-                Dispatch::agentLinkLost(process.state, instance, moment(world));
+                Dispatch::handleAgentDisconnected(process.state, instance, moment(world));
             }
         });
     });
@@ -111,13 +111,13 @@
     if (frame.type == Schema::FrameType::AgentHello
         && (known == process.linkOfAgent.end() || known->second != linkIndex)) {
         if (known != process.linkOfAgent.end()) {
-            Dispatch::agentLinkLost(process.state, instance, moment(world));
+            Dispatch::handleAgentDisconnected(process.state, instance, moment(world));
         }
         process.linkOfAgent[instance] = linkIndex;
     }
     carryOut(world, gateway,
-             Dispatch::agentFrameHeard(process.state, instance, frame, moment(world),
-                                       process.random));
+             Dispatch::handleAgentFrame(process.state, instance, frame, moment(world),
+                                        process.random));
 }
 
 void sendToGateway(World &world, int linkIndex, const Schema::Frame &frame)
@@ -182,7 +182,7 @@
         deliver(process, [&world, &process, target, sender, frame] {
             process.peerHeardMs[sender] = world.nowMs;
             carryOut(world, target,
-                     Dispatch::gatewayFrameHeard(process.state, sender, frame, moment(world)));
+                     Dispatch::handleGatewayFrame(process.state, sender, frame, moment(world)));
         });
     });
 }
@@ -193,7 +193,7 @@
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     deliver(process, [&world, &process, gateway, stream, batch, status] {
         carryOut(world, gateway,
-                 Dispatch::appendEnded(process.state, stream, batch, status, moment(world)));
+                 Dispatch::handleAppendResult(process.state, stream, batch, status, moment(world)));
     });
 }
 
@@ -239,7 +239,8 @@
         offset = static_cast<std::int64_t>(entries.size());
         read.nextOffset = offset;
         read.atEnd = true;
-        carryOut(world, gateway, Dispatch::logHeard(process.state, stream, read, moment(world)));
+        carryOut(world, gateway,
+                 Dispatch::handleLogRead(process.state, stream, read, moment(world)));
     }
     after(world, PollMs, [&world, gateway, stream] { pollLog(world, gateway, stream); });
 }
@@ -251,7 +252,8 @@
         return;
     }
     if (!process.isPaused) {
-        carryOut(world, gateway, Dispatch::settle(process.state, moment(world), process.random));
+        carryOut(world, gateway,
+                 Dispatch::gatewayTick(process.state, moment(world), process.random));
         configInForce(world.oracle, process.state.self.instance,
                       Dispatch::configuration(process.state.site.config).version);
         process.isAlive = !(process.isStopping && Dispatch::isStopped(process.state));
@@ -278,7 +280,7 @@
         for (auto &[peer, heardMs] : process.peerHeardMs) {
             if (heardMs + process.state.settings.peerSilenceMs < world.nowMs) {
                 heardMs = world.nowMs;
-                Dispatch::gatewayLinkLost(process.state, peer);
+                Dispatch::handleGatewayDisconnected(process.state, peer);
             }
         }
     }
@@ -591,7 +593,9 @@
     for (std::size_t other = 0; other < world.gateways.size(); ++other) {
         after(world, networkDelay(world), [&world, other, instance] {
             GatewayProcess &peer = *world.gateways[other];
-            deliver(peer, [&peer, instance] { Dispatch::gatewayLinkLost(peer.state, instance); });
+            deliver(peer, [&peer, instance] {
+                Dispatch::handleGatewayDisconnected(peer.state, instance);
+            });
         });
     }
 }
@@ -714,8 +718,9 @@
     asked.token = std::to_string(submission);
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     deliver(process, [&world, &process, gateway, asked] {
-        carryOut(world, gateway,
-                 Dispatch::callerAsked(process.state, asked, moment(world), process.random));
+        carryOut(
+                world, gateway,
+                Dispatch::handleCallerRequest(process.state, asked, moment(world), process.random));
     });
     return submission;
 }
@@ -728,8 +733,9 @@
     asked.job = job;
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     deliver(process, [&world, &process, gateway, asked] {
-        carryOut(world, gateway,
-                 Dispatch::callerAsked(process.state, asked, moment(world), process.random));
+        carryOut(
+                world, gateway,
+                Dispatch::handleCallerRequest(process.state, asked, moment(world), process.random));
     });
 }
 
@@ -744,8 +750,8 @@
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     deliver(process, [&world, &process, gateway, change, basedOn] {
         carryOut(world, gateway,
-                 Dispatch::configureAsked(process.state, "", change, basedOn, moment(world),
-                                          process.random));
+                 Dispatch::handleConfigChange(process.state, "", change, basedOn, moment(world),
+                                              process.random));
     });
 }
 
