--- a/Source/Core/Dispatch/Jobs/AgentTable.cpp
+++ b/Source/Core/Dispatch/Jobs/AgentTable.cpp
@@ -55,13 +55,13 @@
 std::vector<std::string> expiredAgents(const AgentTable &table, Common::Moment now,
                                        std::int64_t graceMs)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> expired;
     for (const auto &[instance, record] : table.agents) {
         if (!record.isConnected && record.disconnectedAtMs + graceMs <= now.steadyMs) {
-            gone.push_back(instance);
+            expired.push_back(instance);
         }
     }
-    return gone;
+    return expired;
 }
 
 std::vector<TaskKey> removeAgent(AgentTable &table, const std::string &instance, Common::Moment now)
