--- a/Source/Core/Dispatch/Persistence/Recovery.cpp
+++ b/Source/Core/Dispatch/Persistence/Recovery.cpp
@@ -43,15 +43,16 @@
 
 std::string nextQuestionId(GatewayState &state)
 {
-    return "q" + std::to_string(++state.lastQuestion);
+    return "q" + std::to_string(++state.lastRequestNumber);
 }
 
 std::int64_t agentListCompleteSince(const GatewayState &state, Common::Moment now)
 {
     const std::int64_t sinceStart = state.startedWallMs;
     const std::int64_t lastGoneWall =
-            state.agents.lastGoneMs == 0 ? 0
-                                         : now.wallMs - (now.steadyMs - state.agents.lastGoneMs);
+            state.agents.lastRemovalMs == 0
+                    ? 0
+                    : now.wallMs - (now.steadyMs - state.agents.lastRemovalMs);
     return std::max(sinceStart, lastGoneWall) + state.settings.agentSilenceMs + ClockMarginMs;
 }
 
@@ -67,7 +68,7 @@
 Effects askNewAgents(GatewayState &state, Takeover &takeover)
 {
     Effects effects;
-    for (const std::string &agent : linkedAgents(state.agents)) {
+    for (const std::string &agent : connectedAgents(state.agents)) {
         if (takeover.agentsAsked.insert(agent).second) {
             takeover.agentsKnown.insert(agent);
             effects.push_back(askTasksEffect(state, agent, takeover.requestId, takeover.shards));
@@ -112,7 +113,8 @@
     takeover.startedMs = now.steadyMs;
     takeover.gatewaysAnswered.insert(state.self.instance);
     takeover.completeSinceMs = agentListCompleteSince(state, now);
-    Effects effects{Note{"takeover_begun", {{"shards", std::to_string(takeover.shards.size())}}}};
+    Effects effects{
+            LogLine{"takeover_begun", {{"shards", std::to_string(takeover.shards.size())}}}};
     state.recovery.takeovers.push_back(std::move(takeover));
     return effects;
 }
@@ -135,8 +137,9 @@
 }
 
 /// Resolves the tasks that no agent has reported: as not started if the job was first submitted at
-/// or after \a provenSinceMs, as lost otherwise.
-Effects resolveUnreportedTasks(GatewayState &state, std::int64_t shard, std::int64_t provenSinceMs)
+/// or after \a provenNotStartedSinceMs, as lost otherwise.
+Effects resolveUnreportedTasks(GatewayState &state, std::int64_t shard,
+                               std::int64_t provenNotStartedSinceMs)
 {
     Effects effects;
     for (const std::string &id : jobsOfShard(state.ledger, shard)) {
@@ -149,7 +152,7 @@
             if (task.stage != TaskStage::Sent || !task.agent.empty()) {
                 continue;
             }
-            if (job->firstSubmittedMs >= provenSinceMs) {
+            if (job->firstSubmittedMs >= provenNotStartedSinceMs) {
                 markNotStarted(*job, static_cast<std::int64_t>(index));
             } else {
                 markLost(*job, static_cast<std::int64_t>(index));
@@ -163,18 +166,18 @@
 Effects endTakeover(GatewayState &state, const Takeover &takeover, bool isComplete,
                     Common::Moment now)
 {
-    const std::int64_t provenSinceMs =
+    const std::int64_t provenNotStartedSinceMs =
             isComplete ? takeover.completeSinceMs : now.wallMs + ClockMarginMs;
-    Effects effects{Note{"takeover_ended",
-                         {{"shards", std::to_string(takeover.shards.size())},
-                          {"complete", isComplete ? "true" : "false"},
-                          {"agents", std::to_string(takeover.agentsAnswered.size())}}}};
+    Effects effects{LogLine{"takeover_ended",
+                            {{"shards", std::to_string(takeover.shards.size())},
+                             {"complete", isComplete ? "true" : "false"},
+                             {"agents", std::to_string(takeover.agentsAnswered.size())}}}};
     for (const std::int64_t shard : takeover.shards) {
         if (shardPhase(state.site.ownership, shard) != ShardPhase::NeedsReports) {
             continue;
         }
-        state.recovery.provenSinceMs[shard] = provenSinceMs;
-        append(effects, resolveUnreportedTasks(state, shard, provenSinceMs));
+        state.recovery.provenNotStartedSinceMs[shard] = provenNotStartedSinceMs;
+        append(effects, resolveUnreportedTasks(state, shard, provenNotStartedSinceMs));
         serveShard(state.site, shard, now);
     }
     return effects;
@@ -188,7 +191,7 @@
         listed.emplace(task.job, task.index);
     }
     std::vector<SentTask> unlisted;
-    for (const SentTask &sent : record.questionTasks) {
+    for (const SentTask &sent : record.requestedTasks) {
         if (listed.count({sent.task.job, sent.task.index}) == 0) {
             unlisted.push_back(sent);
         }
@@ -251,18 +254,19 @@
         return {};
     }
     std::set<std::int64_t> shards;
-    record.questionTasks.clear();
+    record.requestedTasks.clear();
     for (const auto &[id, index] : record.tasks) {
         shards.insert(shardOf(state.ledger, id));
         const JobEntry *job = findJob(state.ledger, id);
         if (job != nullptr) {
             const TaskEntry &task = job->tasks[static_cast<std::size_t>(index)];
-            record.questionTasks.push_back(
+            record.requestedTasks.push_back(
                     {{id, static_cast<int>(index)}, task.epoch, task.attempt});
         }
     }
-    record.openQuestion = nextQuestionId(state);
-    return {askTasksEffect(state, agent, record.openQuestion, {shards.begin(), shards.end()})};
+    record.pendingReportRequest = nextQuestionId(state);
+    return {askTasksEffect(state, agent, record.pendingReportRequest,
+                           {shards.begin(), shards.end()})};
 }
 
 Effects handleTaskStatesAnswer(GatewayState &state, const std::string &agent,
@@ -277,10 +281,10 @@
     }
     const auto found = state.agents.agents.find(agent);
     if (question.empty() || found == state.agents.agents.end()
-        || found->second.openQuestion != question) {
+        || found->second.pendingReportRequest != question) {
         return {};
     }
-    found->second.openQuestion.clear();
+    found->second.pendingReportRequest.clear();
     Schema::TaskStates missing;
     for (const SentTask &sent : unlistedTasks(found->second, report)) {
         Schema::TaskState row;
@@ -292,7 +296,7 @@
         row.reason = Schema::Reason::ConnectionLost;
         missing.states.push_back(std::move(row));
     }
-    return tasksReported(state, agent, missing, now, random);
+    return handleTaskReports(state, agent, missing, now, random);
 }
 
 } // namespace Dispatch
--- a/Source/Core/Gateway/GatewayLinks.cpp
+++ b/Source/Core/Gateway/GatewayLinks.cpp
@@ -71,11 +71,11 @@
     }
     for (const Schema::Frame &frame : releaseEarlyFrames(link, std::move(arrived.frame))) {
         if (kind == PeerKind::Agent) {
-            this->carryOut(Dispatch::agentFrameHeard(this->control.state, instance, frame,
-                                                     this->control.now, this->control.random));
+            this->carryOut(Dispatch::handleAgentFrame(this->control.state, instance, frame,
+                                                      this->control.now, this->control.random));
         } else {
-            this->carryOut(Dispatch::gatewayFrameHeard(this->control.state, instance, frame,
-                                                       this->control.now));
+            this->carryOut(Dispatch::handleGatewayFrame(this->control.state, instance, frame,
+                                                        this->control.now));
         }
     }
 }
@@ -94,9 +94,9 @@
     if (link.kind == PeerKind::Agent) {
         // Also needed if a new link of the same agent has replaced this one: frames on the old link
         // may be lost, so the agent has to be asked what arrived.
-        Dispatch::agentLinkLost(this->control.state, link.instance, this->control.now);
+        Dispatch::handleAgentDisconnected(this->control.state, link.instance, this->control.now);
     } else if (link.kind == PeerKind::Gateway) {
-        Dispatch::gatewayLinkLost(this->control.state, link.instance);
+        Dispatch::handleGatewayDisconnected(this->control.state, link.instance);
     }
 }
 
@@ -108,7 +108,7 @@
         // A forwarded request that could not be sent is tried again, like all others forwarded to
         // that gateway: the owner answers a request once, and has not received this one.
         if (send.frame.type == Schema::FrameType::Forward) {
-            Dispatch::gatewayLinkLost(this->control.state, send.instance);
+            Dispatch::handleGatewayDisconnected(this->control.state, send.instance);
         }
         return;
     }
