--- a/Source/Core/Common/Backoff.cpp
+++ b/Source/Core/Common/Backoff.cpp
@@ -5,15 +5,15 @@
 
 namespace Common {
 
-std::int64_t longerPause(std::int64_t pauseMs, std::int64_t firstMs, std::int64_t mostMs)
+std::int64_t nextBackoffMs(std::int64_t pauseMs, std::int64_t minMs, std::int64_t maxMs)
 {
-    return pauseMs == 0 ? firstMs : std::min(pauseMs * 2, mostMs);
+    return pauseMs == 0 ? minMs : std::min(pauseMs * 2, maxMs);
 }
 
-std::chrono::milliseconds spreadPause(std::int64_t pauseMs, Random &random)
+std::chrono::milliseconds jitteredDelay(std::int64_t pauseMs, Random &random)
 {
-    std::uniform_int_distribution<std::int64_t> spread(pauseMs / 2, pauseMs + pauseMs / 2);
-    return std::chrono::milliseconds(spread(random));
+    std::uniform_int_distribution<std::int64_t> distribution(pauseMs / 2, pauseMs + pauseMs / 2);
+    return std::chrono::milliseconds(distribution(random));
 }
 
 } // namespace Common
--- a/Source/Core/Common/Invariant.cpp
+++ b/Source/Core/Common/Invariant.cpp
@@ -6,12 +6,12 @@
 
 namespace Common {
 
-void invariant(bool holds, std::string_view promise, std::string_view detail)
+void invariant(bool condition, std::string_view description, std::string_view detail)
 {
-    if (holds) {
+    if (condition) {
         return;
     }
-    logEvent(LogLevel::Error, "invariant_broken", {{"promise", promise}, {"detail", detail}});
+    logEvent(LogLevel::Error, "invariant_broken", {{"promise", description}, {"detail", detail}});
     stopLogging();
     std::abort();
 }
--- a/Source/Core/Common/Log.cpp
+++ b/Source/Core/Common/Log.cpp
@@ -34,10 +34,10 @@
                                                 {LogLevel::Error, "error"}}};
 
 /// Twice what a gateway writes at 150 jobs a second, with a line for each start and end of a run.
-constexpr std::uint64_t MaxLinesASecond = 4000;
+constexpr std::uint64_t MaxLinesPerSecond = 4000;
 /// Lines that wait for the writing thread: half a second's. More are dropped.
 constexpr std::size_t QueueLines = 2000;
-constexpr std::chrono::milliseconds LastLinesTimeout{300};
+constexpr std::chrono::milliseconds FlushTimeout{300};
 
 using Backend = boost::log::sinks::text_ostream_backend;
 using Sink = boost::log::sinks::asynchronous_sink<
@@ -108,32 +108,32 @@
     line += needsQuotes(value) ? quoteValue(value) : value;
 }
 
-/// Lets MaxLinesASecond through, and tells how many more there were in the next second. Failures
+/// Lets MaxLinesPerSecond through, and tells how many more there were in the next second. Failures
 /// come in floods: a reader who is behind must not hold the process up, nor the lines of a flood
 /// take the processor that serves callers.
-class LineBudget
+class LineRateLimiter
 {
 public:
-    struct Verdict
+    struct Decision
     {
-        bool passes = true;
+        bool isAllowed = true;
         std::uint64_t droppedBefore = 0;
     };
 
-    Verdict take()
+    Decision decide()
     {
         const auto second = std::chrono::duration_cast<std::chrono::seconds>(
                 std::chrono::steady_clock::now().time_since_epoch());
         const std::lock_guard<std::mutex> lock(this->mutex);
-        Verdict verdict;
+        Decision decision;
         if (second != this->current) {
             this->current = second;
             this->lines = 0;
-            verdict.droppedBefore = std::exchange(this->dropped, 0);
+            decision.droppedBefore = std::exchange(this->dropped, 0);
         }
-        verdict.passes = ++this->lines <= MaxLinesASecond;
-        this->dropped += verdict.passes ? 0 : 1;
-        return verdict;
+        decision.isAllowed = ++this->lines <= MaxLinesPerSecond;
+        this->dropped += decision.isAllowed ? 0 : 1;
+        return decision;
     }
 
 private:
@@ -145,14 +145,14 @@
 
 void write(LogLevel level, const std::string &line)
 {
-    static LineBudget budget;
-    const LineBudget::Verdict verdict = budget.take();
-    if (verdict.droppedBefore > 0) {
-        std::string told = startLine(LogLevel::Warning, "log_lines_dropped");
-        addField(told, "lines", std::to_string(verdict.droppedBefore));
-        BOOST_LOG_SEV(logger(), LogLevel::Warning) << told;
+    static LineRateLimiter limiter;
+    const LineRateLimiter::Decision decision = limiter.decide();
+    if (decision.droppedBefore > 0) {
+        std::string droppedLine = startLine(LogLevel::Warning, "log_lines_dropped");
+        addField(droppedLine, "lines", std::to_string(decision.droppedBefore));
+        BOOST_LOG_SEV(logger(), LogLevel::Warning) << droppedLine;
     }
-    if (verdict.passes) {
+    if (decision.isAllowed) {
         BOOST_LOG_SEV(logger(), level) << line;
     }
 }
@@ -192,7 +192,7 @@
         stopped->flush();
         written->set_value();
     }).detach();
-    return written->get_future().wait_for(LastLinesTimeout) == std::future_status::ready;
+    return written->get_future().wait_for(FlushTimeout) == std::future_status::ready;
 }
 
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields)
--- a/Source/Core/Common/SettingsFile.cpp
+++ b/Source/Core/Common/SettingsFile.cpp
@@ -64,15 +64,15 @@
     }
     std::int64_t whole = 0;
     double fraction = 0;
-    bool truth = false;
+    bool boolean = false;
     if (YAML::convert<std::int64_t>::decode(node, whole)) {
         return whole;
     }
     if (YAML::convert<double>::decode(node, fraction)) {
         return fraction;
     }
-    if (YAML::convert<bool>::decode(node, truth)) {
-        return truth;
+    if (YAML::convert<bool>::decode(node, boolean)) {
+        return boolean;
     }
     return text;
 }
--- a/Source/Core/Gateway/TransientCallers.cpp
+++ b/Source/Core/Gateway/TransientCallers.cpp
@@ -144,7 +144,7 @@
     callerRequest.host = host == request.headers.end() ? std::string() : host->second;
     callerRequest.id = request.path.substr(request.path.rfind('/') + 1);
     callerRequest.remainingTimeoutMs =
-            Platform::callerPatienceMs(request).value_or(DefaultRemainingTimeoutMs);
+            Platform::callerRemainingTimeoutMs(request).value_or(DefaultRemainingTimeoutMs);
     if (request.method == "POST") {
         Common::handle([&] { return decodeBody(callerRequest, request.body); },
                        [&callerRequest](const Common::Failure &failure) {
@@ -168,7 +168,7 @@
     }
     const std::string jobId = event.path.substr(queue->path.size());
     if (event.method == "GET" && jobId.empty()) {
-        this->reply(event.reply, Platform::encodeWaiting(
+        this->reply(event.reply, Platform::encodePendingJobs(
                                          Transient::waitingJobs(this->control.state, queue->name)));
         return;
     }
--- a/Source/Core/Gateway/TransientStore.cpp
+++ b/Source/Core/Gateway/TransientStore.cpp
@@ -41,7 +41,7 @@
 
 void TransientStore::followQueues()
 {
-    this->client->follow(StoreTopic::Operators, [this](const StoreClient::StoreNews &news) {
+    this->client->follow(StoreTopic::Operators, [this](const StoreClient::StoreUpdate &news) {
         for (const Platform::StoreRecord &record : news.records) {
             if (record.key != Platform::QueuesKey) {
                 continue;
@@ -57,7 +57,7 @@
 
 void TransientStore::followGateways()
 {
-    this->client->follow(StoreTopic::Gateways, [this](const StoreClient::StoreNews &news) {
+    this->client->follow(StoreTopic::Gateways, [this](const StoreClient::StoreUpdate &news) {
         this->mailbox.post(GatewaysRead{Platform::decodeMembers(news.records)});
     });
 }
@@ -74,7 +74,7 @@
         || !Transient::takeReadDue(this->learned, this->control.now)) {
         return;
     }
-    this->client->readOnce(StoreTopic::Learned, [this](const StoreClient::StoreNews &news) {
+    this->client->readOnce(StoreTopic::Learned, [this](const StoreClient::StoreUpdate &news) {
         this->mailbox.post(LearnedTimesRead{news.available, Platform::decodeLearned(news.records)});
     });
 }
--- a/Source/Core/Net/HttpClient.cpp
+++ b/Source/Core/Net/HttpClient.cpp
@@ -19,9 +19,9 @@
 constexpr std::size_t MaxAnswerBytes = std::size_t{128} << 20U;
 /// How long the thread sleeps when nothing happens; calls and answers wake it.
 constexpr int PollTimeoutMs = 1000;
-constexpr std::int64_t MillisecondsASecond = 1000;
+constexpr std::int64_t MsPerSecond = 1000;
 /// Idle connections to one server are kept up to its bound, and a few more for others.
-constexpr long PooledForEachAllowed = 2;
+constexpr long PooledConnectionsFactor = 2;
 
 struct HeaderList
 {
@@ -49,7 +49,7 @@
     HttpCall call;
     /// Only for a call with headers of its own.
     std::unique_ptr<HeaderList> headerList;
-    HttpDone done;
+    HttpCallback done;
     HttpResult result;
     /// Times that curl was about to write the request to a connection.
     int attempts = 0;
@@ -67,7 +67,7 @@
     return transfer->attempts == 1 ? CURL_PREREQFUNC_OK : CURL_PREREQFUNC_ABORT;
 }
 
-std::size_t takeBody(char *data, std::size_t size, std::size_t count, void *user)
+std::size_t appendBody(char *data, std::size_t size, std::size_t count, void *user)
 {
     auto *transfer = static_cast<Transfer *>(user);
     const std::size_t length = size * count;
@@ -137,7 +137,8 @@
         this->multi = curl_multi_init();
         curl_multi_setopt(this->multi, CURLMOPT_MAX_HOST_CONNECTIONS,
                           static_cast<long>(maxConnections));
-        curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS, maxConnections * PooledForEachAllowed);
+        curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS,
+                          maxConnections * PooledConnectionsFactor);
         this->thread = std::thread([this] { this->run(); });
     }
 
@@ -152,7 +153,7 @@
     Implementation(const Implementation &) = delete;
     Implementation &operator=(const Implementation &) = delete;
 
-    void post(HttpCall call, HttpDone done)
+    void post(HttpCall call, HttpCallback done)
     {
         auto transfer = std::make_unique<Transfer>();
         transfer->call = std::move(call);
@@ -170,10 +171,10 @@
             this->addWaiting();
             int running = 0;
             curl_multi_perform(this->multi, &running);
-            this->finishDone();
+            this->finishCompleted();
             curl_multi_poll(this->multi, nullptr, 0, PollTimeoutMs, nullptr);
         }
-        this->endAll();
+        this->abortAll();
     }
 
     void addWaiting()
@@ -218,7 +219,7 @@
         curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, static_cast<long>(call.timeoutMs));
         curl_easy_setopt(handle, CURLOPT_PREREQFUNCTION, beforeRequest);
         curl_easy_setopt(handle, CURLOPT_PREREQDATA, &transfer);
-        curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, takeBody);
+        curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, appendBody);
         curl_easy_setopt(handle, CURLOPT_WRITEDATA, &transfer);
         if (call.method == "POST" || !call.body.empty()) {
             curl_easy_setopt(handle, CURLOPT_POSTFIELDSIZE_LARGE,
@@ -243,8 +244,7 @@
         if (found == this->lastTimeoutMs.end()) {
             return;
         }
-        const std::int64_t age =
-                (Common::currentMoment().steadyMs - found->second) / MillisecondsASecond;
+        const std::int64_t age = (Common::currentMoment().steadyMs - found->second) / MsPerSecond;
         // curl counts whole seconds and takes 0 for no bound; one second less errs on the safe
         // side.
         if (age < 2) {
@@ -254,17 +254,18 @@
         }
     }
 
-    void judgeConnections(const std::string &origin, HttpTransport transport)
+    void updateSuspectConnections(const std::string &origin, HttpTransport transport)
     {
-        int &inRow = this->timeoutsInRow[origin];
+        int &consecutiveTimeouts = this->consecutiveTimeoutsByOrigin[origin];
         if (transport == HttpTransport::Answered) {
-            inRow = 0;
-        } else if (transport == HttpTransport::TimedOut && ++inRow >= this->timeoutsUntilSuspect) {
+            consecutiveTimeouts = 0;
+        } else if (transport == HttpTransport::TimedOut
+                   && ++consecutiveTimeouts >= this->timeoutsUntilSuspect) {
             this->lastTimeoutMs[origin] = Common::currentMoment().steadyMs;
         }
     }
 
-    void finishDone()
+    void finishCompleted()
     {
         int left = 0;
         while (CURLMsg *message = curl_multi_info_read(this->multi, &left)) {
@@ -288,15 +289,15 @@
             result.error = transfer.isTooLong ? "answer too long" : curl_easy_strerror(code);
             result.body.clear();
         }
-        if (transfer.call.judgesConnections || result.transport == HttpTransport::Answered) {
-            this->judgeConnections(originOf(transfer.call.url), result.transport);
+        if (transfer.call.marksSuspectConnections || result.transport == HttpTransport::Answered) {
+            this->updateSuspectConnections(originOf(transfer.call.url), result.transport);
         }
         curl_multi_remove_handle(this->multi, handle);
         curl_easy_cleanup(handle);
         transfer.done(std::move(result));
     }
 
-    void endAll()
+    void abortAll()
     {
         while (!this->transfers.empty()) {
             this->finish(this->transfers.begin()->first, CURLE_ABORTED_BY_CALLBACK);
@@ -321,7 +322,7 @@
     /// The members below belong to the thread.
     std::map<CURL *, std::unique_ptr<Transfer>> transfers;
     std::map<std::string, std::int64_t> lastTimeoutMs;
-    std::map<std::string, int> timeoutsInRow;
+    std::map<std::string, int> consecutiveTimeoutsByOrigin;
     std::thread thread;
 };
 
@@ -331,7 +332,7 @@
 
 HttpClient::~HttpClient() = default;
 
-void HttpClient::send(HttpCall call, HttpDone done)
+void HttpClient::send(HttpCall call, HttpCallback done)
 {
     this->implementation->post(std::move(call), std::move(done));
 }
--- a/Source/Core/Net/HttpClient.h
+++ b/Source/Core/Net/HttpClient.h
@@ -24,7 +24,7 @@
     std::int64_t timeoutMs = 10000;
     /// A timeout of it counts against all connections to the server. Not where it is so short that
     /// it says more of the answer than of the connection.
-    bool judgesConnections = true;
+    bool marksSuspectConnections = true;
 };
 
 /// How far a call got. Only NotConnected proves that the server never saw the request.
@@ -38,7 +38,7 @@
     std::string error;
 };
 
-using HttpDone = std::function<void(HttpResult)>;
+using HttpCallback = std::function<void(HttpResult)>;
 
 /// Makes calls on one thread of its own, keeping connections open between calls. A request that was
 /// written on a reused connection is never silently sent again on a fresh one: the server may have
@@ -55,7 +55,7 @@
     HttpClient &operator=(const HttpClient &) = delete;
 
     /// \a done runs on the client's thread.
-    void send(HttpCall call, HttpDone done);
+    void send(HttpCall call, HttpCallback done);
     /// Waits for the answer.
     HttpResult perform(HttpCall call);
 
--- a/Source/Core/Net/HttpServer.cpp
+++ b/Source/Core/Net/HttpServer.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t HeaderRoomBytes = std::size_t{64} << 10U;
 /// Pistache answers 408 when this has passed since a request, also while its answer is still owed:
 /// with its default of a minute a job that waits longer would be cut off. Longer than the longest
-/// deadline of a job; connections whose caller vanished are found by watchForSilence() instead.
+/// deadline of a job; connections whose caller vanished are found by enableKeepalive() instead.
 constexpr std::chrono::hours IdleTimeout{2};
 /// How long stop() waits for answers that are sent but not yet written.
 constexpr std::chrono::seconds FlushTimeout{2};
@@ -50,7 +50,7 @@
 };
 
 /// Stands between replies, which live as long as their holder likes, and the endpoint, which ends.
-struct Gate
+struct EndpointState
 {
     std::shared_mutex mutex;
     bool isOpen = true;
@@ -82,17 +82,17 @@
 class UnwrittenAnswer
 {
 public:
-    explicit UnwrittenAnswer(std::shared_ptr<Gate> gate)
-        : gate(std::move(gate))
+    explicit UnwrittenAnswer(std::shared_ptr<EndpointState> endpointState)
+        : endpointState(std::move(endpointState))
     {
-        this->gate->addUnwritten(1);
+        this->endpointState->addUnwritten(1);
     }
-    ~UnwrittenAnswer() { this->gate->addUnwritten(-1); }
+    ~UnwrittenAnswer() { this->endpointState->addUnwritten(-1); }
     UnwrittenAnswer(const UnwrittenAnswer &) = delete;
     UnwrittenAnswer &operator=(const UnwrittenAnswer &) = delete;
 
 private:
-    std::shared_ptr<Gate> gate;
+    std::shared_ptr<EndpointState> endpointState;
 };
 
 /// What the server keeps of a connection.
@@ -102,9 +102,9 @@
     bool isRefused = false;
     /// Whether "100 Continue" was sent for the request being read.
     bool isContinued = false;
-    /// Guards isGone while an answer is handed to the library.
+    /// Guards isDisconnected while an answer is handed to the library.
     std::mutex mutex;
-    bool isGone = false;
+    bool isDisconnected = false;
 };
 
 HttpResponse refusal(int status, Schema::Reason reason, const std::string &detail)
@@ -134,7 +134,7 @@
 
 /// Lets the kernel notice a caller that vanished without a word, whose connection would otherwise
 /// be held until the idle timeout.
-void watchForSilence(int socket)
+void enableKeepalive(int socket)
 {
     constexpr int On = 1;
     constexpr int IdleSeconds = 60;
@@ -186,10 +186,10 @@
 struct HttpReply::Implementation
 {
     Implementation(Http::ResponseWriter writer, std::shared_ptr<ConnectionState> connection,
-                   std::shared_ptr<Gate> gate)
+                   std::shared_ptr<EndpointState> endpointState)
         : writer(std::move(writer))
         , connection(std::move(connection))
-        , gate(std::move(gate))
+        , endpointState(std::move(endpointState))
     {}
     Implementation(const Implementation &) = delete;
     Implementation &operator=(const Implementation &) = delete;
@@ -208,27 +208,27 @@
             return false;
         }
         // The writer refers to the endpoint's transport, which is gone after stop().
-        const std::shared_lock<std::shared_mutex> lock(this->gate->mutex);
-        if (!this->gate->isOpen) {
+        const std::shared_lock<std::shared_mutex> lock(this->endpointState->mutex);
+        if (!this->endpointState->isOpen) {
             return false;
         }
         // The library queues an answer under the number of its socket. Once the caller has gone,
         // another one may have that number, and would get an answer that it never asked for.
         const std::lock_guard<std::mutex> connectionLock(this->connection->mutex);
-        if (this->connection->isGone) {
+        if (this->connection->isDisconnected) {
             return false;
         }
         if (response.retryAfterSeconds > 0) {
             this->writer.headers().add<RetryAfter>(response.retryAfterSeconds);
         }
         const std::shared_ptr<Pistache::Tcp::Peer> peer =
-                response.closesConnection ? this->livePeer() : nullptr;
+                response.closesConnection ? this->connectedPeer() : nullptr;
         if (peer) {
             // The library keeps the first header of a name.
             this->writer.headers().remove<Http::Header::Connection>();
             this->writer.headers().add<Http::Header::Connection>(Http::ConnectionControl::Close);
         }
-        const auto unwritten = std::make_shared<UnwrittenAnswer>(this->gate);
+        const auto unwritten = std::make_shared<UnwrittenAnswer>(this->endpointState);
         const auto written = [unwritten, peer] {
             // The transport closes the connection when the caller has closed its side too.
             if (peer) {
@@ -243,7 +243,7 @@
         return true;
     }
 
-    std::shared_ptr<Pistache::Tcp::Peer> livePeer() const
+    std::shared_ptr<Pistache::Tcp::Peer> connectedPeer() const
     {
         try {
             return this->writer.getPeer();
@@ -255,7 +255,7 @@
 
     Http::ResponseWriter writer;
     std::shared_ptr<ConnectionState> connection;
-    std::shared_ptr<Gate> gate;
+    std::shared_ptr<EndpointState> endpointState;
     std::atomic<bool> isAnswered = false;
 };
 
@@ -281,13 +281,14 @@
 public:
     HTTP_PROTOTYPE(RequestHandler)
 
-    RequestHandler(HttpHandler handler, HttpRefused refused, HttpDisconnected disconnected,
-                   std::size_t bodyLimit, std::shared_ptr<Gate> gate)
+    RequestHandler(HttpHandler handler, HttpRefusalListener refused,
+                   HttpDisconnectionListener disconnected, std::size_t bodyLimit,
+                   std::shared_ptr<EndpointState> endpointState)
         : handler(std::move(handler))
         , refused(std::move(refused))
         , disconnected(std::move(disconnected))
         , bodyLimit(bodyLimit)
-        , gate(std::move(gate))
+        , endpointState(std::move(endpointState))
     {}
 
     void onRequest(const Http::Request &request, Http::ResponseWriter writer) override
@@ -298,8 +299,8 @@
                                           : request.version() == Http::Version::Http10;
         writer.headers().add<Http::Header::Connection>(
                 isClosing ? Http::ConnectionControl::Close : Http::ConnectionControl::KeepAlive);
-        const HttpReply reply(
-                std::make_shared<HttpReply::Implementation>(std::move(writer), state, this->gate));
+        const HttpReply reply(std::make_shared<HttpReply::Implementation>(std::move(writer), state,
+                                                                          this->endpointState));
         HttpRequest converted = convert(request);
         converted.connection = state->number;
         this->handler(std::move(converted), reply);
@@ -310,11 +311,11 @@
 
     void onConnection(const Peer &peer) override
     {
-        watchForSilence(peer->fd());
+        enableKeepalive(peer->fd());
         peer->putData(ParserData, std::make_shared<Http::RequestParser>(this->getMaxRequestSize()));
         const auto state = std::make_shared<ConnectionState>();
         state->number = ++lastConnection();
-        ++this->gate->connections;
+        ++this->endpointState->connections;
         peer->putData(ConnectionStateName, state);
     }
 
@@ -323,11 +324,11 @@
         const std::shared_ptr<ConnectionState> state = stateOf(peer);
         {
             const std::lock_guard<std::mutex> lock(state->mutex);
-            state->isGone = true;
+            state->isDisconnected = true;
         }
         // While the socket is still open, its number is no other caller's.
         this->transport()->flush();
-        --this->gate->connections;
+        --this->endpointState->connections;
         this->disconnected(state->number);
     }
 
@@ -349,11 +350,11 @@
                 this->refuse(peer, Schema::Reason::BodyTooLarge, bodyTooLarge(this->bodyLimit));
                 return;
             }
-            const bool isWhole = parser.parse() == Http::Private::State::Done;
+            const bool isComplete = parser.parse() == Http::Private::State::Done;
             const bool isBodyNext = parser.step()->id() == Http::Private::BodyStep::Id;
             if (isBodyNext && this->isTooLong(parser.request)) {
                 this->refuse(peer, Schema::Reason::BodyTooLarge, bodyTooLarge(this->bodyLimit));
-            } else if (isWhole) {
+            } else if (isComplete) {
                 this->onRequest(parser.request, this->writerFor(peer));
                 stateOf(peer)->isContinued = false;
                 parser.reset();
@@ -415,10 +416,10 @@
     }
 
     HttpHandler handler;
-    HttpRefused refused;
-    HttpDisconnected disconnected;
+    HttpRefusalListener refused;
+    HttpDisconnectionListener disconnected;
     std::size_t bodyLimit;
-    std::shared_ptr<Gate> gate;
+    std::shared_ptr<EndpointState> endpointState;
 };
 
 } // namespace
@@ -430,7 +431,7 @@
     {}
 
     Http::Endpoint endpoint;
-    std::shared_ptr<Gate> gate = std::make_shared<Gate>();
+    std::shared_ptr<EndpointState> endpointState = std::make_shared<EndpointState>();
     std::atomic<bool> isStopped = false;
 };
 
@@ -450,13 +451,13 @@
 
 int HttpServer::openConnections() const
 {
-    return this->implementation->gate->connections;
+    return this->implementation->endpointState->connections;
 }
 
 int HttpServer::unwrittenAnswers() const
 {
-    const std::lock_guard<std::mutex> lock(this->implementation->gate->unwrittenMutex);
-    return this->implementation->gate->unwritten;
+    const std::lock_guard<std::mutex> lock(this->implementation->endpointState->unwrittenMutex);
+    return this->implementation->endpointState->unwritten;
 }
 
 void HttpServer::stop()
@@ -464,11 +465,11 @@
     if (this->implementation->isStopped.exchange(true)) {
         return;
     }
-    const std::shared_ptr<Gate> &gate = this->implementation->gate;
-    gate->waitUntilWritten();
+    const std::shared_ptr<EndpointState> &endpointState = this->implementation->endpointState;
+    endpointState->waitUntilWritten();
     {
-        const std::lock_guard<std::shared_mutex> lock(gate->mutex);
-        gate->isOpen = false;
+        const std::lock_guard<std::shared_mutex> lock(endpointState->mutex);
+        endpointState->isOpen = false;
     }
     this->implementation->endpoint.shutdown();
 }
@@ -498,13 +499,13 @@
     return *this;
 }
 
-HttpServerBuilder &HttpServerBuilder::refused(HttpRefused refused)
+HttpServerBuilder &HttpServerBuilder::refused(HttpRefusalListener refused)
 {
     this->refusalListener = std::move(refused);
     return *this;
 }
 
-HttpServerBuilder &HttpServerBuilder::disconnected(HttpDisconnected disconnected)
+HttpServerBuilder &HttpServerBuilder::disconnected(HttpDisconnectionListener disconnected)
 {
     this->disconnectionListener = std::move(disconnected);
     return *this;
@@ -525,7 +526,7 @@
                     .keepaliveTimeout(IdleTimeout));
     implementation->endpoint.setHandler(std::make_shared<RequestHandler>(
             this->requestHandler, this->refusalListener, this->disconnectionListener,
-            this->bodyLimit, implementation->gate));
+            this->bodyLimit, implementation->endpointState));
     implementation->endpoint.serveThreaded();
     return std::unique_ptr<HttpServer>(new HttpServer(std::move(implementation)));
 }
--- a/Source/Core/Net/HttpServer.h
+++ b/Source/Core/Net/HttpServer.h
@@ -53,10 +53,10 @@
 using HttpHandler = std::function<void(HttpRequest, HttpReply)>;
 
 /// Called on one of the server's threads for each request that is refused before the handler.
-using HttpRefused = std::function<void(Schema::Reason)>;
+using HttpRefusalListener = std::function<void(Schema::Reason)>;
 
 /// Called on one of the server's threads when a connection has ended, with its number.
-using HttpDisconnected = std::function<void(std::uint64_t)>;
+using HttpDisconnectionListener = std::function<void(std::uint64_t)>;
 
 /// Serves HTTP on threads of its own from construction to destruction.
 class HttpServer
@@ -93,8 +93,8 @@
     /// A longer body is answered with status 413 and Reason body_too_large.
     HttpServerBuilder &maxBodyBytes(std::size_t bytes);
     HttpServerBuilder &handler(HttpHandler handler);
-    HttpServerBuilder &refused(HttpRefused refused);
-    HttpServerBuilder &disconnected(HttpDisconnected disconnected);
+    HttpServerBuilder &refused(HttpRefusalListener refused);
+    HttpServerBuilder &disconnected(HttpDisconnectionListener disconnected);
     /// Listens and serves. Throws std::runtime_error where the address cannot be had.
     std::unique_ptr<HttpServer> build();
 
@@ -104,8 +104,8 @@
     int threadCount = 1;
     std::size_t bodyLimit = 1U << 20U;
     HttpHandler requestHandler;
-    HttpRefused refusalListener = [](Schema::Reason) {};
-    HttpDisconnected disconnectionListener = [](std::uint64_t) {};
+    HttpRefusalListener refusalListener = [](Schema::Reason) {};
+    HttpDisconnectionListener disconnectionListener = [](std::uint64_t) {};
 };
 
 } // namespace Net
--- a/Source/Core/Net/PeerHub.cpp
+++ b/Source/Core/Net/PeerHub.cpp
@@ -50,9 +50,9 @@
 {
     std::function<bool(const std::string &)> write;
     std::function<std::size_t()> unsent;
-    std::function<void()> drop;
+    std::function<void()> disconnect;
     bool isOpen = false;
-    bool isMadeHere = false;
+    bool isOutgoing = false;
     /// Handed to the hub's thread and not yet on the wire; read by every sender.
     std::shared_ptr<std::atomic<std::size_t>> queuedBytes =
             std::make_shared<std::atomic<std::size_t>>(0);
@@ -91,11 +91,11 @@
 
     /// Ties a connection's events to its link.
     template <typename Connection>
-    void bind(LinkId id, const Connection &connection, bool isMadeHere)
+    void bind(LinkId id, const Connection &connection, bool isOutgoing)
     {
         using Message = typename Connection::element_type::message_ptr;
         Link link;
-        link.isMadeHere = isMadeHere;
+        link.isOutgoing = isOutgoing;
         const std::weak_ptr<typename Connection::element_type> weak = connection;
         link.write = [weak](const std::string &bytes) {
             const auto target = weak.lock();
@@ -105,7 +105,7 @@
             const auto target = weak.lock();
             return target ? target->get_buffered_amount() : 0;
         };
-        link.drop = [weak] {
+        link.disconnect = [weak] {
             const auto target = weak.lock();
             if (target) {
                 target->terminate(websocketpp::lib::error_code());
@@ -115,7 +115,9 @@
                 [this, id](const websocketpp::connection_hdl &, const Message &message) {
                     this->received(id, message->get_payload());
                 });
-        const auto ended = [this, id](const websocketpp::connection_hdl &) { this->forget(id); };
+        const auto ended = [this, id](const websocketpp::connection_hdl &) {
+            this->removeLink(id);
+        };
         connection->set_close_handler(ended);
         connection->set_fail_handler(ended);
         const std::lock_guard<std::mutex> lock(this->mutex);
@@ -186,7 +188,7 @@
                 return;
             }
             this->bytesReceived +=
-                    bytes.size() + headerBytes(bytes.size(), !found->second.isMadeHere);
+                    bytes.size() + headerBytes(bytes.size(), !found->second.isOutgoing);
         }
         std::optional<Schema::Frame> frame = this->decode(id, bytes);
         if (frame) {
@@ -239,7 +241,7 @@
     void write(LinkId id, const std::string &bytes)
     {
         std::function<bool(const std::string &)> writeBytes;
-        bool isMadeHere = false;
+        bool isOutgoing = false;
         {
             const std::lock_guard<std::mutex> lock(this->mutex);
             const auto found = this->links.find(id);
@@ -247,11 +249,11 @@
                 return;
             }
             writeBytes = found->second.write;
-            isMadeHere = found->second.isMadeHere;
+            isOutgoing = found->second.isOutgoing;
         }
         if (writeBytes(bytes)) {
             ++this->framesSent;
-            this->bytesSent += bytes.size() + headerBytes(bytes.size(), isMadeHere);
+            this->bytesSent += bytes.size() + headerBytes(bytes.size(), isOutgoing);
         }
         this->updateBuffered(id);
     }
@@ -266,7 +268,7 @@
     }
 
     /// Ends a link of which the connection is already gone, or was dropped.
-    bool forget(LinkId id)
+    bool removeLink(LinkId id)
     {
         {
             const std::lock_guard<std::mutex> lock(this->mutex);
@@ -280,17 +282,17 @@
 
     void close(LinkId id)
     {
-        std::function<void()> drop;
+        std::function<void()> disconnect;
         {
             const std::lock_guard<std::mutex> lock(this->mutex);
             const auto found = this->links.find(id);
             if (found == this->links.end()) {
                 return;
             }
-            drop = found->second.drop;
+            disconnect = found->second.disconnect;
         }
-        this->forget(id);
-        drop();
+        this->removeLink(id);
+        disconnect();
     }
 
     std::uint16_t listen(const std::string &host, std::uint16_t port)
@@ -321,13 +323,13 @@
             if (this->server.is_listening()) {
                 this->server.stop_listening(ignored);
             }
-            this->dropAll();
+            this->disconnectAll();
             this->context.stop();
         });
         this->thread.join();
     }
 
-    void dropAll()
+    void disconnectAll()
     {
         std::map<LinkId, Link> ending;
         {
@@ -335,7 +337,7 @@
             ending.swap(this->links);
         }
         for (const auto &entry : ending) {
-            entry.second.drop();
+            entry.second.disconnect();
         }
     }
 
--- a/Source/Core/PlatformLog/LogClient.cpp
+++ b/Source/Core/PlatformLog/LogClient.cpp
@@ -153,11 +153,11 @@
     {}
 
     /// False after stop(): \a done is then never called.
-    bool send(Net::HttpCall call, Net::HttpDone done);
+    bool send(Net::HttpCall call, Net::HttpCallback done);
     void append(Stream stream, const std::vector<Schema::LogRecord> &records,
                 const std::function<void(AppendResult)> &done);
     void read(Follower &follower);
-    void takeRead(Follower &follower, const Net::HttpResult &result);
+    void handleRead(Follower &follower, const Net::HttpResult &result);
     void succeed(Follower &follower, ReadResult read);
     void retry(Follower &follower, ReadFailure reason);
     std::chrono::milliseconds jittered(std::int64_t pauseMs);
@@ -172,7 +172,7 @@
     Common::TimerThread timers;
 };
 
-bool LogClient::Implementation::send(Net::HttpCall call, Net::HttpDone done)
+bool LogClient::Implementation::send(Net::HttpCall call, Net::HttpCallback done)
 {
     const std::lock_guard<std::mutex> lock(this->mutex);
     if (!this->client) {
@@ -212,11 +212,11 @@
     call.timeoutMs = this->settings.longPollMs + this->settings.readTimeoutMs;
     call.connectTimeoutMs = this->settings.readTimeoutMs;
     this->send(std::move(call), [this, &follower](const Net::HttpResult &result) {
-        this->takeRead(follower, result);
+        this->handleRead(follower, result);
     });
 }
 
-void LogClient::Implementation::takeRead(Follower &follower, const Net::HttpResult &result)
+void LogClient::Implementation::handleRead(Follower &follower, const Net::HttpResult &result)
 {
     {
         const std::lock_guard<std::mutex> lock(this->mutex);
@@ -256,7 +256,7 @@
         follower.deliver(std::move(unavailable));
     }
     const std::int64_t firstMs = this->settings.retryMs;
-    follower.pauseMs = Common::longerPause(follower.pauseMs, firstMs, firstMs * MaxRetryFactor);
+    follower.pauseMs = Common::nextBackoffMs(follower.pauseMs, firstMs, firstMs * MaxRetryFactor);
     this->timers.after(this->jittered(follower.pauseMs),
                        [this, &follower] { this->read(follower); });
 }
@@ -264,7 +264,7 @@
 std::chrono::milliseconds LogClient::Implementation::jittered(std::int64_t pauseMs)
 {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    return Common::spreadPause(pauseMs, this->random);
+    return Common::jitteredDelay(pauseMs, this->random);
 }
 
 void LogClient::Implementation::count(const char *name, Stream stream, const char *label,
--- a/Source/Core/Runner/RunnerDaemon.cpp
+++ b/Source/Core/Runner/RunnerDaemon.cpp
@@ -408,7 +408,7 @@
     Net::HttpCall call = Platform::startCall(this->target(), effect.start);
     call.timeoutMs = effect.timeoutMs;
     call.connectTimeoutMs = effect.timeoutMs;
-    call.judgesConnections = false;
+    call.marksSuspectConnections = false;
     this->backend->send(std::move(call), [this, run = effect.run, number = effect.start.number](
                                                  const Net::HttpResult &result) {
         this->mailbox.post(StartEnded{run, number, Platform::decodeStart(result)});
@@ -525,7 +525,7 @@
     }
     this->askedStoreMs = this->now.steadyMs;
     this->store->readOnce(
-            Platform::StoreTopic::Gateways, [this](const StoreClient::StoreNews &news) {
+            Platform::StoreTopic::Gateways, [this](const StoreClient::StoreUpdate &news) {
                 this->mailbox.post(GatewaysRead{Platform::decodeMembers(news.records)});
             });
 }
--- a/Source/Core/StoreClient/StoreClient.cpp
+++ b/Source/Core/StoreClient/StoreClient.cpp
@@ -19,13 +19,13 @@
 struct Follower
 {
     StoreTopic topic = StoreTopic::Operators;
-    std::function<void(StoreNews)> deliver;
+    std::function<void(StoreUpdate)> deliver;
     /// Reads the newest records of all keys, before and whenever the history has expired.
     bool readsNewest = true;
     std::string afterKey;
     std::int64_t newestOffset = 0;
     std::int64_t offset = 0;
-    bool isLost = false;
+    bool isUnavailable = false;
     std::int64_t pauseMs = 0;
 };
 
@@ -50,18 +50,18 @@
         , client(std::make_unique<Net::HttpClient>(MaxConnections))
     {}
 
-    void send(Net::HttpCall call, std::int64_t waitMs, Net::HttpDone done);
+    void send(Net::HttpCall call, std::int64_t waitMs, Net::HttpCallback done);
     bool isStopped();
     void read(Follower &follower);
-    void takeNewest(Follower &follower, const Net::HttpResult &result);
-    void takeRead(Follower &follower, const Net::HttpResult &result);
+    void handleNewest(Follower &follower, const Net::HttpResult &result);
+    void handleRead(Follower &follower, const Net::HttpResult &result);
     void succeed(Follower &follower, std::vector<Platform::StoreRecord> records);
     void retry(Follower &follower, const Net::HttpResult &result);
     void write(StoreTopic topic, const Platform::StoreRecord &record, std::int64_t pauseMs);
     void tryWrite(StoreTopic topic, const Platform::StoreRecord &record,
                   const std::function<void()> &failed);
     void count(const char *call, const Net::HttpResult &result) const;
-    std::int64_t longerPause(std::int64_t pauseMs) const;
+    std::int64_t nextBackoffMs(std::int64_t pauseMs) const;
     std::chrono::milliseconds jittered(std::int64_t pauseMs);
     void stop();
 
@@ -73,7 +73,7 @@
     Common::TimerThread timers;
 };
 
-void Client::Implementation::send(Net::HttpCall call, std::int64_t waitMs, Net::HttpDone done)
+void Client::Implementation::send(Net::HttpCall call, std::int64_t waitMs, Net::HttpCallback done)
 {
     call.timeoutMs = waitMs + this->settings.answerTimeoutMs;
     call.connectTimeoutMs = this->settings.answerTimeoutMs;
@@ -101,20 +101,20 @@
         this->send(Platform::newestCall(this->settings.address, follower.topic, follower.afterKey),
                    0, [this, &follower](const Net::HttpResult &result) {
                        this->count("newest", result);
-                       this->takeNewest(follower, result);
+                       this->handleNewest(follower, result);
                    });
         return;
     }
     // After a failure a short read shows whether the store answers again.
-    const std::int64_t waitMs = follower.isLost ? 0 : this->settings.longPollMs;
+    const std::int64_t waitMs = follower.isUnavailable ? 0 : this->settings.longPollMs;
     this->send(Platform::readCall(this->settings.address, follower.topic, follower.offset, waitMs),
                waitMs, [this, &follower](const Net::HttpResult &result) {
                    this->count("read", result);
-                   this->takeRead(follower, result);
+                   this->handleRead(follower, result);
                });
 }
 
-void Client::Implementation::takeNewest(Follower &follower, const Net::HttpResult &result)
+void Client::Implementation::handleNewest(Follower &follower, const Net::HttpResult &result)
 {
     std::optional<Platform::NewestRecords> newest = Platform::decodeNewest(result);
     if (!newest) {
@@ -135,7 +135,7 @@
     this->succeed(follower, std::move(newest->records));
 }
 
-void Client::Implementation::takeRead(Follower &follower, const Net::HttpResult &result)
+void Client::Implementation::handleRead(Follower &follower, const Net::HttpResult &result)
 {
     std::optional<Platform::ReadRecords> read = Platform::decodeRead(result, follower.offset);
     if (!read) {
@@ -153,11 +153,11 @@
 
 void Client::Implementation::succeed(Follower &follower, std::vector<Platform::StoreRecord> records)
 {
-    if (follower.isLost) {
+    if (follower.isUnavailable) {
         Common::logEvent(Common::LogLevel::Info, "store_regained",
                          {{"topic", topicName(follower.topic)}});
     }
-    follower.isLost = false;
+    follower.isUnavailable = false;
     follower.pauseMs = 0;
     follower.deliver({true, std::move(records)});
     this->read(follower);
@@ -165,13 +165,13 @@
 
 void Client::Implementation::retry(Follower &follower, const Net::HttpResult &result)
 {
-    if (!follower.isLost) {
-        follower.isLost = true;
+    if (!follower.isUnavailable) {
+        follower.isUnavailable = true;
         Common::logEvent(Common::LogLevel::Warning, "store_lost",
                          {{"topic", topicName(follower.topic)}, {"why", describe(result)}});
         follower.deliver({});
     }
-    follower.pauseMs = this->longerPause(follower.pauseMs);
+    follower.pauseMs = this->nextBackoffMs(follower.pauseMs);
     this->timers.after(this->jittered(follower.pauseMs),
                        [this, &follower] { this->read(follower); });
 }
@@ -196,7 +196,7 @@
                                    std::int64_t pauseMs)
 {
     this->tryWrite(topic, record, [this, topic, record, pauseMs] {
-        const std::int64_t longer = this->longerPause(pauseMs);
+        const std::int64_t longer = this->nextBackoffMs(pauseMs);
         this->timers.after(this->jittered(longer),
                            [this, topic, record, longer] { this->write(topic, record, longer); });
     });
@@ -213,16 +213,16 @@
             {{"call", call}, {"outcome", isAnswered ? std::to_string(result.status) : "lost"}});
 }
 
-std::int64_t Client::Implementation::longerPause(std::int64_t pauseMs) const
+std::int64_t Client::Implementation::nextBackoffMs(std::int64_t pauseMs) const
 {
     const std::int64_t firstMs = this->settings.retryMs;
-    return Common::longerPause(pauseMs, firstMs, firstMs * MaxRetryFactor);
+    return Common::nextBackoffMs(pauseMs, firstMs, firstMs * MaxRetryFactor);
 }
 
 std::chrono::milliseconds Client::Implementation::jittered(std::int64_t pauseMs)
 {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    return Common::spreadPause(pauseMs, this->random);
+    return Common::jitteredDelay(pauseMs, this->random);
 }
 
 void Client::Implementation::stop()
@@ -244,7 +244,7 @@
     this->stop();
 }
 
-void Client::follow(StoreTopic topic, std::function<void(StoreNews)> deliver)
+void Client::follow(StoreTopic topic, std::function<void(StoreUpdate)> deliver)
 {
     auto follower = std::make_unique<Follower>();
     follower->topic = topic;
@@ -257,7 +257,7 @@
     this->implementation->read(added);
 }
 
-void Client::readOnce(StoreTopic topic, std::function<void(StoreNews)> deliver)
+void Client::readOnce(StoreTopic topic, std::function<void(StoreUpdate)> deliver)
 {
     this->implementation->send(
             Platform::newestCall(this->implementation->settings.address, topic, {}), 0,
--- a/Source/Core/StoreClient/StoreClient.h
+++ b/Source/Core/StoreClient/StoreClient.h
@@ -31,7 +31,7 @@
 };
 
 /// Records that were read, or the loss of the store.
-struct StoreNews
+struct StoreUpdate
 {
     /// False once each time the store stops answering.
     bool available = false;
@@ -49,9 +49,9 @@
 
     /// Delivers the newest record of each key of \a topic, then every later one, for as long as
     /// the client lives, on a thread of the client.
-    void follow(Platform::StoreTopic topic, std::function<void(StoreNews)> deliver);
+    void follow(Platform::StoreTopic topic, std::function<void(StoreUpdate)> deliver);
     /// Delivers the newest record of each key once; nothing where the store does not answer.
-    void readOnce(Platform::StoreTopic topic, std::function<void(StoreNews)> deliver);
+    void readOnce(Platform::StoreTopic topic, std::function<void(StoreUpdate)> deliver);
     /// Writes the record, again and again until it is acknowledged.
     void write(Platform::StoreTopic topic, const Platform::StoreRecord &record);
     /// Writes the record, or not: for what is written again soon anyway.
--- a/Source/UnitTests/Platform/CallerCallsTest.cpp
+++ b/Source/UnitTests/Platform/CallerCallsTest.cpp
@@ -124,7 +124,7 @@
         CAPTURE(row.text);
         Net::HttpRequest request;
         request.headers["x-auburntrail-deadline-ms"] = row.text;
-        CHECK(Platform::callerPatienceMs(request).value_or(-1) == row.patienceMs);
+        CHECK(Platform::callerRemainingTimeoutMs(request).value_or(-1) == row.patienceMs);
     }
-    CHECK_FALSE(Platform::callerPatienceMs({}).has_value());
+    CHECK_FALSE(Platform::callerRemainingTimeoutMs({}).has_value());
 }
