--- a/Source/Core/Net/Address.h
+++ b/Source/Core/Net/Address.h
@@ -11,7 +11,8 @@
     std::uint16_t port = 0;
 };
 
-/// "host:port", as the settings' schema checks it. Without a readable port the port is 0.
+/// Splits "host:port", a form that the settings schema checks. The port is 0 if it is missing or
+/// not a number.
 Address parseAddress(const std::string &text);
 
 } // namespace Net
--- a/Source/Core/Net/Codec.cpp
+++ b/Source/Core/Net/Codec.cpp
@@ -39,9 +39,9 @@
         {FrameType::QueueTable, "queueTable"},
 }};
 
-/// Deeper than any message of the schema.
+/// Deeper nesting than in any message of the schema.
 constexpr std::size_t MaxDepth = 24;
-/// Beyond this a floating-point number no longer names one whole number.
+/// Beyond 2^53 a floating-point number does not represent every integer.
 constexpr double MaxExactNumber = 9007199254740992.0;
 
 constexpr unsigned MajorTypeShift = 5;
@@ -51,7 +51,7 @@
 
 enum class MajorType { Unsigned, Negative, Bytes, Text, Array, Map, Tag, Simple };
 
-/// First bytes of a CBOR item.
+/// Head of a CBOR item: its type and argument.
 struct ItemHead
 {
     MajorType type = MajorType::Simple;
@@ -72,7 +72,8 @@
     if (head.additional < OneByteArgument) {
         return true;
     }
-    // Indefinite lengths too: they nest without limit, and encodeFrame() never writes them.
+    // Also rejects indefinite lengths: they nest without limit, and encodeFrame() never writes
+    // them.
     if (head.additional > EightByteArgument) {
         return false;
     }
@@ -111,10 +112,10 @@
     return std::isfinite(number) && std::abs(number) <= MaxExactNumber;
 }
 
-/// Whether \a bytes are one CBOR item that the JSON library can take in. The library descends once
-/// for each nested array, map or chunk: a megabyte of opening bytes would overflow the stack and
-/// kill the process. Here the depth is bounded and nothing recurses. Numbers that do not fit the
-/// schema's types, whose conversion is undefined, are turned away too.
+/// Whether \a bytes are one CBOR item that the JSON library can parse safely. The library recurses
+/// once for each nested array, map or chunk: a megabyte of opening bytes would overflow the stack
+/// and crash the process. This check limits the depth and does not recurse. It also rejects numbers
+/// that do not fit the schema's types, because their conversion is undefined behavior.
 bool isSafeItem(std::string_view bytes)
 {
     std::size_t depth = 0;
@@ -146,8 +147,8 @@
             break;
         case MajorType::Array:
         case MajorType::Map: {
-            // Each item takes a byte, so a longer claim is false; this also keeps the product
-            // small.
+            // Each item takes at least one byte, so a larger count is invalid. The limit also
+            // keeps the product below small.
             if (head.argument > bytes.size() || depth + 1 == MaxDepth) {
                 return false;
             }
@@ -192,13 +193,13 @@
         return malformed("longer than " + std::to_string(MaxFrameBytes) + " bytes");
     }
     if (!isSafeItem(bytes)) {
-        return malformed("not CBOR of the kind that frames are written in");
+        return malformed("not CBOR in the form that frames use");
     }
     try {
         const Json json = Json::from_cbor(bytes);
         auto frame = json.get<Schema::Frame>();
         if (!hasOnlyMember(json, frame.type)) {
-            return malformed("has not exactly the member its type names");
+            return malformed("does not have exactly the member that its type names");
         }
         return frame;
     } catch (const std::exception &error) {
--- a/Source/Core/Net/Codec.h
+++ b/Source/Core/Net/Codec.h
@@ -11,15 +11,15 @@
 
 namespace Net {
 
-/// Longest frame taken in: room for a forwarded job whose body has the greatest length that the
-/// settings allow.
+/// Longest frame that is accepted: enough for a forwarded job whose body has the maximum length
+/// that the settings allow.
 constexpr std::size_t MaxFrameBytes = std::size_t{72} << 20U;
 
-/// One frame as CBOR.
+/// Encodes one frame as CBOR.
 std::string encodeFrame(const Schema::Frame &frame);
 
-/// Bytes from another process. Fails with Reason::Malformed where they are not CBOR, or not a frame
-/// with exactly the member its type names.
+/// Decodes a frame from another process. Fails with Reason::Malformed if \a bytes exceed
+/// MaxFrameBytes, are not CBOR, or are not a frame with exactly the member that its type names.
 Common::Outcome<Schema::Frame> decodeFrame(std::string_view bytes);
 
 } // namespace Net
--- a/Source/Core/Net/HttpClient.cpp
+++ b/Source/Core/Net/HttpClient.cpp
@@ -15,19 +15,21 @@
 
 namespace {
 
-/// Longest answer taken in.
+/// Longest answer body that is accepted.
 constexpr std::size_t MaxAnswerBytes = std::size_t{128} << 20U;
-/// How long the thread sleeps when nothing happens; calls and answers wake it.
+/// Longest sleep of the thread; new calls and arriving answers wake it earlier.
 constexpr int PollTimeoutMs = 1000;
 constexpr std::int64_t MsPerSecond = 1000;
-/// Idle connections to one server are kept up to its bound, and a few more for others.
+/// Size of the connection pool, relative to the most connections to one server: idle connections
+/// to one server are all kept, with room for some to other servers.
 constexpr long PooledConnectionsFactor = 2;
 
 struct HeaderList
 {
     HeaderList()
     {
-        // Without "Expect:" curl waits up to a second for a server's leave to send a long body.
+        // Without this empty header, curl waits up to a second for "100 Continue" before it sends a
+        // long body.
         this->headers = curl_slist_append(this->headers, "Expect:");
         this->headers = curl_slist_append(this->headers, "Content-Type: application/json");
         this->headers = curl_slist_append(this->headers, "Connection: keep-alive");
@@ -47,19 +49,19 @@
 struct Transfer
 {
     HttpCall call;
-    /// Only for a call with headers of its own.
+    /// Set only for a call with additional headers.
     std::unique_ptr<HeaderList> headerList;
     HttpCallback done;
     HttpResult result;
-    /// Times that curl was about to write the request to a connection.
+    /// Number of times that curl was about to write the request to a connection.
     int attempts = 0;
     bool isTooLong = false;
 };
 
-/// curl sends a request again, unasked and whatever its method, when a reused connection closes
-/// before any byte of the answer: the server may have acted on the first one, and a POST would take
-/// effect twice. curl has no switch for that, but asks here before each attempt; the second is
-/// turned down and the call ends as Lost.
+/// curl automatically repeats a request, whatever its method, if a reused connection closes before
+/// the first byte of the answer. The server may have acted on the first request, so that a repeated
+/// POST would take effect twice. curl has no option to turn this off, but calls this function
+/// before each attempt. The second attempt is rejected, and the call ends as Lost.
 int beforeRequest(void *user, char *, char *, int, int)
 {
     auto *transfer = static_cast<Transfer *>(user);
@@ -233,11 +235,11 @@
         return handle;
     }
 
-    /// When something between the two ends has lost track of their connections, each pooled one
-    /// swallows a request and costs a timeout. After some timeouts in a row none that is older is
-    /// used again: a server that is only slow costs no more than some new connections. Where a
-    /// server leaves single requests unanswered, one timeout tells nothing of the other
-    /// connections.
+    /// If a device between client and server has dropped the state of their connections, each
+    /// pooled connection loses a request and costs a timeout. Therefore, after timeoutsUntilSuspect
+    /// timeouts without an answer in between, older connections are not used again. For a server
+    /// that is only slow, this costs no more than some new connections. If a server leaves single
+    /// requests unanswered, one timeout says nothing about the other connections.
     void avoidSuspectConnections(CURL *handle, const std::string &origin)
     {
         const auto found = this->lastTimeoutMs.find(origin);
@@ -245,8 +247,8 @@
             return;
         }
         const std::int64_t age = (Common::currentMoment().steadyMs - found->second) / MsPerSecond;
-        // curl counts whole seconds and takes 0 for no bound; one second less errs on the safe
-        // side.
+        // curl counts whole seconds, and 0 means no limit. One second less makes sure that all
+        // connections older than the timeout are excluded.
         if (age < 2) {
             curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, 1L);
         } else {
@@ -319,7 +321,7 @@
     std::atomic<bool> isStopping = false;
     std::mutex mutex;
     std::deque<std::unique_ptr<Transfer>> waiting;
-    /// The members below belong to the thread.
+    /// The members below are used only by the client's thread.
     std::map<CURL *, std::unique_ptr<Transfer>> transfers;
     std::map<std::string, std::int64_t> lastTimeoutMs;
     std::map<std::string, int> consecutiveTimeoutsByOrigin;
--- a/Source/Core/Net/HttpClient.h
+++ b/Source/Core/Net/HttpClient.h
@@ -9,7 +9,7 @@
 
 namespace Net {
 
-/// \a text with its %XX escapes resolved.
+/// Returns \a text with its %XX escapes decoded.
 std::string percentDecoded(std::string_view text);
 std::string percentEncoded(const std::string &text);
 
@@ -18,16 +18,16 @@
     std::string method = "GET";
     std::string url;
     std::string body;
-    /// Further header lines, each "Name: value".
+    /// Additional header lines, each "Name: value".
     std::vector<std::string> headers;
     std::int64_t connectTimeoutMs = 1000;
     std::int64_t timeoutMs = 10000;
-    /// A timeout of it counts against all connections to the server. Not where it is so short that
-    /// it says more of the answer than of the connection.
+    /// Whether a timeout of this call counts against all connections to the server. False for a
+    /// timeout so short that it indicates a slow answer rather than a broken connection.
     bool marksSuspectConnections = true;
 };
 
-/// How far a call got. Only NotConnected proves that the server never saw the request.
+/// How far a call got. Only NotConnected proves that the server did not receive the request.
 enum class HttpTransport { Answered, NotConnected, Lost, TimedOut };
 
 struct HttpResult
@@ -40,23 +40,23 @@
 
 using HttpCallback = std::function<void(HttpResult)>;
 
-/// Makes calls on one thread of its own, keeping connections open between calls. A request that was
-/// written on a reused connection is never silently sent again on a fresh one: the server may have
-/// acted on it, so the call ends as Lost.
+/// Makes calls on a thread of its own and keeps connections open between calls. A request that was
+/// written to a reused connection is never repeated on a new one: the server may have acted on it,
+/// so the call ends as Lost.
 class HttpClient
 {
 public:
-    /// \a maxConnections bounds connections to any one server; further calls wait. After
-    /// \a timeoutsUntilSuspect timeouts without an answer in between, no older connection to that
-    /// server is used again.
+    /// \a maxConnections limits the connections to each server; further calls wait. After
+    /// \a timeoutsUntilSuspect timeouts without an answer in between, older connections to that
+    /// server are not used again.
     explicit HttpClient(int maxConnections, int timeoutsUntilSuspect = 1);
     ~HttpClient();
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// \a done runs on the client's thread.
+    /// Starts the call and returns at once. \a done runs on the client's thread.
     void send(HttpCall call, HttpCallback done);
-    /// Waits for the answer.
+    /// Makes the call and waits for its result.
     HttpResult perform(HttpCall call);
 
 private:
--- a/Source/Core/Net/HttpServer.cpp
+++ b/Source/Core/Net/HttpServer.cpp
@@ -24,16 +24,17 @@
 
 namespace Http = Pistache::Http;
 
-/// Room for the request line, headers and chunk sizes beside the body.
+/// Maximum size of the request line, headers and chunk sizes, in addition to the body.
 constexpr std::size_t HeaderRoomBytes = std::size_t{64} << 10U;
-/// Pistache answers 408 when this has passed since a request, also while its answer is still owed:
-/// with its default of a minute a job that waits longer would be cut off. Longer than the longest
-/// deadline of a job; connections whose caller vanished are found by enableKeepalive() instead.
+/// Pistache answers 408 when this time has passed since a request, even if the request is not yet
+/// answered: with its default of one minute, a job that waits longer would be cut off. This is
+/// longer than the longest deadline of a job. Connections of callers that have vanished are
+/// detected by enableKeepalive() instead.
 constexpr std::chrono::hours IdleTimeout{2};
-/// How long stop() waits for answers that are sent but not yet written.
+/// How long stop() waits until answers that were sent are written to their connections.
 constexpr std::chrono::seconds FlushTimeout{2};
 
-/// The library knows no such header, and writes only headers of a type it is given.
+/// The library has no class for this header, and writes only headers that have a class.
 class RetryAfter : public Http::Header::Header
 {
 public:
@@ -49,7 +50,8 @@
     int seconds;
 };
 
-/// Stands between replies, which live as long as their holder likes, and the endpoint, which ends.
+/// State shared by the endpoint and the replies. A reply may outlive the endpoint and checks isOpen
+/// before it uses it.
 struct EndpointState
 {
     std::shared_mutex mutex;
@@ -75,10 +77,10 @@
     }
 };
 
-/// Counts an answer as unwritten for as long as the library holds what follows its writing. Where
-/// the caller has gone, the library drops that without a call: counted down by a call only, one
-/// such caller made every later stop wait for the whole FlushTimeout, while requests were still
-/// taken and nobody answered them.
+/// Counts an answer as unwritten while the library holds the callback for the end of its write. If
+/// the caller has disconnected, the library destroys the callback without calling it. A count that
+/// only the call itself decremented would stay too high after one such caller: every later stop
+/// would wait for the whole FlushTimeout while requests are still accepted and not answered.
 class UnwrittenAnswer
 {
 public:
@@ -95,7 +97,7 @@
     std::shared_ptr<EndpointState> endpointState;
 };
 
-/// What the server keeps of a connection.
+/// State of one connection.
 struct ConnectionState
 {
     std::uint64_t number = 0;
@@ -123,7 +125,7 @@
 {
     constexpr int ContentTooLarge = 413;
     return refusal(ContentTooLarge, Schema::Reason::BodyTooLarge,
-                   "a body may have " + std::to_string(limit) + " bytes");
+                   "the body exceeds the limit of " + std::to_string(limit) + " bytes");
 }
 
 HttpResponse malformedRequest(const std::string &detail)
@@ -132,8 +134,8 @@
     return refusal(BadRequest, Schema::Reason::Malformed, "HTTP: " + detail);
 }
 
-/// Lets the kernel notice a caller that vanished without a word, whose connection would otherwise
-/// be held until the idle timeout.
+/// Lets the kernel detect a caller that has vanished without closing its connection. Otherwise the
+/// connection would be kept until IdleTimeout.
 void enableKeepalive(int socket)
 {
     constexpr int On = 1;
@@ -207,13 +209,15 @@
         if (this->isAnswered.exchange(true)) {
             return false;
         }
-        // The writer refers to the endpoint's transport, which is gone after stop().
+        // The writer refers to the endpoint's transport, which does not exist any more after
+        // stop().
         const std::shared_lock<std::shared_mutex> lock(this->endpointState->mutex);
         if (!this->endpointState->isOpen) {
             return false;
         }
-        // The library queues an answer under the number of its socket. Once the caller has gone,
-        // another one may have that number, and would get an answer that it never asked for.
+        // The library queues an answer by the number of its socket. After the caller has
+        // disconnected, the number may be reused for another caller, which would receive an answer
+        // to a request that it did not send.
         const std::lock_guard<std::mutex> connectionLock(this->connection->mutex);
         if (this->connection->isDisconnected) {
             return false;
@@ -224,13 +228,13 @@
         const std::shared_ptr<Pistache::Tcp::Peer> peer =
                 response.closesConnection ? this->connectedPeer() : nullptr;
         if (peer) {
-            // The library keeps the first header of a name.
+            // If a header is added twice, the library keeps the first one.
             this->writer.headers().remove<Http::Header::Connection>();
             this->writer.headers().add<Http::Header::Connection>(Http::ConnectionControl::Close);
         }
         const auto unwritten = std::make_shared<UnwrittenAnswer>(this->endpointState);
         const auto written = [unwritten, peer] {
-            // The transport closes the connection when the caller has closed its side too.
+            // The transport closes the connection after the caller has closed its side too.
             if (peer) {
                 ::shutdown(peer->fd(), SHUT_WR);
             }
@@ -248,7 +252,7 @@
         try {
             return this->writer.getPeer();
         } catch (const std::exception &) {
-            // The library throws where the caller has gone: there is nothing left to close.
+            // The library throws if the caller has disconnected: there is nothing left to close.
             return nullptr;
         }
     }
@@ -270,12 +274,13 @@
 
 namespace {
 
-/// Under which a Pistache::Tcp::Peer keeps it.
+/// Key of the ConnectionState in the data of a Pistache::Tcp::Peer.
 constexpr const char *ConnectionStateName = "connectionState";
 
-/// Pistache's way into a HttpHandler. It takes the place of the library's own reading of requests,
-/// which goes on scanning a body that is too long: 4 MB of it held a thread for seconds, and the
-/// caller had no answer. Here such a connection is answered once and nothing more is parsed.
+/// Passes requests from Pistache to an HttpHandler. Replaces the library's own reading of requests,
+/// which keeps scanning a body that is too long: 4 MB of it occupied a thread for seconds, and the
+/// caller received no answer. Here such a connection is answered once, and no further input is
+/// parsed.
 class RequestHandler : public Http::Handler
 {
 public:
@@ -326,13 +331,14 @@
             const std::lock_guard<std::mutex> lock(state->mutex);
             state->isDisconnected = true;
         }
-        // While the socket is still open, its number is no other caller's.
+        // Handles queued answers while the socket is still open: until it is closed, its number
+        // cannot be reused for another caller.
         this->transport()->flush();
         --this->endpointState->connections;
         this->disconnected(state->number);
     }
 
-    /// Shared by the copies of the handler that the library makes, one a thread.
+    /// Shared by the copies of the handler that the library makes, one for each thread.
     static std::atomic<std::uint64_t> &lastConnection()
     {
         static std::atomic<std::uint64_t> last = 0;
@@ -362,7 +368,7 @@
                 sendContinue(peer, parser.request);
             }
         } catch (const std::bad_alloc &) {
-            // The library reserves whatever length a request announces.
+            // The library reserves memory for whatever length a request announces.
             this->refuse(peer, Schema::Reason::BodyTooLarge, bodyTooLarge(this->bodyLimit));
         } catch (const std::length_error &) {
             this->refuse(peer, Schema::Reason::BodyTooLarge, bodyTooLarge(this->bodyLimit));
@@ -388,7 +394,8 @@
                || request.body().size() > this->bodyLimit;
     }
 
-    /// Answers and closes: what else arrives belongs to the refused request.
+    /// Answers and closes the connection. Further input belongs to the refused request and is not
+    /// parsed.
     void refuse(const Peer &peer, Schema::Reason reason, const HttpResponse &response)
     {
         this->refused(reason);
@@ -402,8 +409,8 @@
                       [closeForWriting](const std::exception_ptr &) { closeForWriting(); });
     }
 
-    /// Some callers, curl's command line among them, ask before a long body and wait a second for
-    /// the answer.
+    /// Some callers, such as curl's command line, send an Expect header before a long body and wait
+    /// a second for the interim answer.
     static void sendContinue(const Peer &peer, const Http::Request &request)
     {
         const std::shared_ptr<ConnectionState> state = stateOf(peer);
--- a/Source/Core/Net/HttpServer.h
+++ b/Source/Core/Net/HttpServer.h
@@ -16,10 +16,10 @@
     std::string method;
     std::string path;
     std::map<std::string, std::string> query;
-    /// By name in lower case; where a name came twice, the last value.
+    /// Values by name in lower case. If a name occurs more than once, the last value is kept.
     std::map<std::string, std::string> headers;
     std::string body;
-    /// Of the connection it came on, never reused within a server.
+    /// Number of the connection that the request came on; never reused within a server.
     std::uint64_t connection = 0;
 };
 
@@ -28,37 +28,39 @@
     int status = 200;
     std::string body;
     std::string contentType = "application/json";
-    /// Seconds for a Retry-After header; 0 sends none.
+    /// Value of the Retry-After header in seconds; 0 sends no such header.
     int retryAfterSeconds = 0;
-    /// Ends the connection after this answer, and says so.
+    /// Closes the connection after this answer, and sends "Connection: Close" with it.
     bool closesConnection = false;
 };
 
-/// The right to answer one request, once, from any thread and at any later time. A reply that is
-/// dropped unanswered closes the request with status 500.
+/// Answers one request, once, from any thread and at any later time. If the last copy is destroyed
+/// without an answer, the request is answered with status 500.
 class HttpReply
 {
 public:
     struct Implementation;
     explicit HttpReply(std::shared_ptr<Implementation> implementation);
 
-    /// False where it is not delivered: the caller has gone, or was answered before.
+    /// False if the answer is not delivered: the caller has disconnected, the request was answered
+    /// before, or the server has stopped.
     bool send(const HttpResponse &response) const;
 
 private:
     std::shared_ptr<Implementation> implementation;
 };
 
-/// Called on one of the server's threads; must not block.
+/// Called on one of the server's threads for each request; must not block.
 using HttpHandler = std::function<void(HttpRequest, HttpReply)>;
 
-/// Called on one of the server's threads for each request that is refused before the handler.
+/// Called on one of the server's threads for each request that is refused without a
+/// call of the handler.
 using HttpRefusalListener = std::function<void(Schema::Reason)>;
 
 /// Called on one of the server's threads when a connection has ended, with its number.
 using HttpDisconnectionListener = std::function<void(std::uint64_t)>;
 
-/// Serves HTTP on threads of its own from construction to destruction.
+/// Serves HTTP on threads of its own from construction until stop() or destruction.
 class HttpServer
 {
 public:
@@ -66,16 +68,17 @@
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    /// The port it listens on, also where 0 was asked for.
+    /// The port that the server listens on; the assigned one if port 0 was requested.
     std::uint16_t port() const;
 
-    /// Connections of callers that are open now.
+    /// Number of connections that are open now.
     int openConnections() const;
 
-    /// Answers that were sent and are not written to their connections yet.
+    /// Number of answers that were sent and are not yet written to their connections.
     int unwrittenAnswers() const;
 
-    /// Stops listening and closes all connections. Answers still owed must have been sent.
+    /// Waits a limited time for unwritten answers, then stops listening and closes all connections.
+    /// All pending requests must be answered before this call.
     void stop();
 
 private:
@@ -90,12 +93,12 @@
 public:
     HttpServerBuilder &listenOn(std::string host, std::uint16_t port);
     HttpServerBuilder &threads(int count);
-    /// A longer body is answered with status 413 and Reason body_too_large.
+    /// A request with a longer body is answered with status 413 and Reason body_too_large.
     HttpServerBuilder &maxBodyBytes(std::size_t bytes);
     HttpServerBuilder &handler(HttpHandler handler);
     HttpServerBuilder &refused(HttpRefusalListener refused);
     HttpServerBuilder &disconnected(HttpDisconnectionListener disconnected);
-    /// Listens and serves. Throws std::runtime_error where the address cannot be had.
+    /// Starts to listen and serve. Throws std::runtime_error if it cannot listen on the address.
     std::unique_ptr<HttpServer> build();
 
 private:
--- a/Source/Core/Net/LinkMessages.h
+++ b/Source/Core/Net/LinkMessages.h
@@ -4,7 +4,7 @@
 
 #include "Net/PeerHub.h"
 
-/// What a hub tells a daemon's control thread.
+/// Messages to a daemon's control thread about the events of a hub.
 namespace Net {
 
 struct LinkUp
@@ -23,7 +23,7 @@
     Schema::Frame frame;
 };
 
-/// Hands every event of a hub to \a mailbox, which must outlive it.
+/// Posts every event of a hub to \a mailbox, which must outlive the hub.
 template <typename Mailbox>
 PeerHubEvents eventsTo(Mailbox &mailbox)
 {
--- a/Source/Core/Net/Net.h
+++ b/Source/Core/Net/Net.h
@@ -8,5 +8,5 @@
 #include "Net/MetricsServer.h"
 #include "Net/PeerHub.h"
 
-/// Public header of the net library: HTTP for the outside, framed WebSocket links between the
-/// system's own processes. Nothing here decides anything.
+/// Public header of the net library: HTTP to and from other systems, and framed WebSocket links
+/// between this system's processes. It contains no decision logic.
--- a/Source/Core/Net/PeerHub.cpp
+++ b/Source/Core/Net/PeerHub.cpp
@@ -25,13 +25,13 @@
 using ServerEndpoint = websocketpp::server<websocketpp::config::asio>;
 using ClientEndpoint = websocketpp::client<websocketpp::config::asio_client>;
 
-/// A link that has more than this unsent takes no more: its peer is silent or too slow, and its
-/// frames would fill the memory that all links share.
+/// A link with more unsent bytes than this accepts no frames: its peer is silent or too slow, and
+/// its frames would fill the memory that all links share.
 constexpr std::size_t MaxUnsentBytes = std::size_t{16} << 20U;
 
 constexpr std::size_t MaskBytes = 4;
 
-/// Bytes that WebSocket puts before a payload of \a size.
+/// Size of the WebSocket header before a payload of \a size bytes.
 std::size_t headerBytes(std::size_t size, bool isMasked)
 {
     constexpr std::size_t ShortPayload = 125;
@@ -45,7 +45,7 @@
     return length + (isMasked ? MaskBytes : 0);
 }
 
-/// One connection, whichever end made it. Its functions run on the hub's thread.
+/// One connection, accepted or outgoing. Its functions run on the hub's thread.
 struct Link
 {
     std::function<bool(const std::string &)> write;
@@ -53,7 +53,8 @@
     std::function<void()> disconnect;
     bool isOpen = false;
     bool isOutgoing = false;
-    /// Handed to the hub's thread and not yet on the wire; read by every sender.
+    /// Bytes that were passed to the hub's thread and are not yet written to the connection. Every
+    /// sender reads this and bufferedBytes.
     std::shared_ptr<std::atomic<std::size_t>> queuedBytes =
             std::make_shared<std::atomic<std::size_t>>(0);
     std::shared_ptr<std::atomic<std::size_t>> bufferedBytes =
@@ -89,7 +90,7 @@
         endpoint.set_max_message_size(MaxFrameBytes);
     }
 
-    /// Ties a connection's events to its link.
+    /// Adds the link \a id and connects the events of \a connection to it.
     template <typename Connection>
     void bind(LinkId id, const Connection &connection, bool isOutgoing)
     {
@@ -157,7 +158,7 @@
             return;
         }
         this->bind(id, connection, true);
-        // No cycle: the connection clears its handlers when it ends.
+        // The handler does not own the connection, so that there is no reference cycle.
         connection->set_open_handler([this, id](const websocketpp::connection_hdl &handle) {
             this->opened(id, this->client.get_con_from_hdl(handle));
         });
@@ -213,7 +214,7 @@
                 });
     }
 
-    /// Called from any thread; the write itself happens on the hub's.
+    /// Called from any thread; the write itself happens on the hub's thread.
     bool send(LinkId id, const Schema::Frame &frame)
     {
         std::shared_ptr<std::atomic<std::size_t>> queued;
@@ -267,7 +268,8 @@
         }
     }
 
-    /// Ends a link of which the connection is already gone, or was dropped.
+    /// Removes a link whose connection has ended or is about to be closed, and reports it as
+    /// closed. False if the link was removed before.
     bool removeLink(LinkId id)
     {
         {
@@ -342,7 +344,7 @@
     }
 
     PeerHubEvents events;
-    /// Outlives the endpoints: their connections hold on to it.
+    /// Outlives the endpoints, because their connections refer to it.
     boost::asio::io_context context;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work =
             boost::asio::make_work_guard(this->context);
--- a/Source/Core/Net/PeerHub.h
+++ b/Source/Core/Net/PeerHub.h
@@ -10,19 +10,20 @@
 
 namespace Net {
 
-/// One WebSocket connection to another process, accepted or made. Never reused within a process.
+/// Number of a WebSocket connection to another process, accepted or outgoing. Never reused within a
+/// hub.
 using LinkId = std::uint64_t;
 
-/// All run on the hub's thread and must not block.
+/// Callbacks of a hub. All run on the hub's thread and must not block.
 struct PeerHubEvents
 {
     std::function<void(LinkId)> opened;
     std::function<void(LinkId, Schema::Frame)> received;
-    /// Also after a connect() that did not succeed, and after close().
+    /// Also called after a connect() that did not succeed, and after close().
     std::function<void(LinkId)> closed;
 };
 
-/// Traffic of the hub since its start.
+/// Traffic of a hub since its start.
 struct PeerHubTraffic
 {
     std::uint64_t framesSent = 0;
@@ -32,8 +33,9 @@
     std::uint64_t malformedFrames = 0;
 };
 
-/// Links to gateways and agents, on one thread of its own. It neither reconnects nor sends
-/// heartbeats: whoever decides on membership does both, so that silence is judged in one place.
+/// Links to gateways and agents, served on a thread of its own. The hub neither reconnects nor
+/// sends heartbeats: the code that decides on membership does both, so that silent peers are
+/// detected in one place.
 class PeerHub
 {
 public:
@@ -42,15 +44,15 @@
     PeerHub(const PeerHub &) = delete;
     PeerHub &operator=(const PeerHub &) = delete;
 
-    /// Accepts links; returns the port, also where 0 was asked for. Throws std::runtime_error where
-    /// the address cannot be had.
+    /// Starts to accept links. Returns the port; the assigned one if port 0 was requested. Throws
+    /// std::runtime_error if it cannot listen on the address.
     std::uint16_t listen(const std::string &host, std::uint16_t port);
-    /// Starts a connection attempt that gives up after \a timeoutMs.
+    /// Starts a connection attempt that is aborted after \a timeoutMs.
     LinkId connect(const std::string &host, std::uint16_t port, std::int64_t timeoutMs = 1000);
-    /// False where the link is gone or its unsent bytes pass the bound; the frame is then dropped.
+    /// False if the link is not open or has too many unsent bytes; the frame is then dropped.
     bool send(LinkId link, const Schema::Frame &frame);
-    /// Drops the connection at once, without a closing handshake: a silent peer would not answer
-    /// it.
+    /// Closes the connection at once, without a closing handshake, which a silent peer would not
+    /// answer.
     void close(LinkId link);
     PeerHubTraffic traffic() const;
     void stop();
