--- a/Source/Core/Common/Backoff.h
+++ b/Source/Core/Common/Backoff.h
@@ -7,12 +7,12 @@
 
 namespace Common {
 
-/// The pause after one of \a pauseMs: \a minMs where there was none, else twice as long, up to
-/// \a maxMs.
+/// Returns the delay that follows a delay of \a pauseMs: \a minMs if \a pauseMs is 0, otherwise
+/// twice \a pauseMs, limited to \a maxMs.
 std::int64_t nextBackoffMs(std::int64_t pauseMs, std::int64_t minMs, std::int64_t maxMs);
 
-/// \a pauseMs, spread by half to either side: processes that lost something together would
-/// otherwise come back to it together.
+/// Returns a random delay between half and one and a half times \a pauseMs: processes that lost a
+/// connection together would otherwise retry together.
 std::chrono::milliseconds jitteredDelay(std::int64_t pauseMs, Random &random);
 
 } // namespace Common
--- a/Source/Core/Common/Clock.h
+++ b/Source/Core/Common/Clock.h
@@ -4,13 +4,14 @@
 
 namespace Common {
 
-/// The two clocks a decision may look at, read once for each event. Decision code never reads a
-/// clock itself, so that a test can drive it through virtual time.
+/// The two clocks that decision code may use, read once for each event. Decision code never reads a
+/// clock itself, so that a test can run it in virtual time.
 struct Moment
 {
-    /// Monotonic milliseconds, for leases, silence and timers within one process.
+    /// Monotonic milliseconds, for leases, silence detection and timers within one process.
     std::int64_t steadyMs = 0;
-    /// Milliseconds since the Unix epoch, for deadlines and submission times that cross machines.
+    /// Milliseconds since the Unix epoch, for deadlines and submission times that are exchanged
+    /// between machines.
     std::int64_t wallMs = 0;
 };
 
--- a/Source/Core/Common/Common.h
+++ b/Source/Core/Common/Common.h
@@ -15,4 +15,4 @@
 #include "Common/TimerThread.h"
 
 /// Public header of the common library: clocks, identifiers, outcomes, logs, metrics and settings
-/// files that every other library builds on.
+/// files, used by every other library.
--- a/Source/Core/Common/Ids.h
+++ b/Source/Core/Common/Ids.h
@@ -5,13 +5,14 @@
 
 namespace Common {
 
-/// Source of randomness handed to decisions, so that a seed replays them.
+/// Random number generator that is passed to decision code, so that a seed reproduces its
+/// decisions.
 using Random = std::mt19937_64;
 
-/// Seeded from the operating system.
+/// Returns a generator seeded by the operating system.
 Random makeRandom();
 
-/// 64 random bits in hexadecimal: unique for each start of a process, record or request.
+/// 64 random bits in hexadecimal, to identify one incarnation of a process, a record or a request.
 std::string randomId(Random &random);
 
 } // namespace Common
--- a/Source/Core/Common/Invariant.h
+++ b/Source/Core/Common/Invariant.h
@@ -4,8 +4,9 @@
 
 namespace Common {
 
-/// Stops the process, with a log line, when \a condition is false. For promises that must never
-/// break: a process that would start a task twice does less harm dead than running.
+/// Logs and aborts the process if \a condition is false. For invariants that must never be
+/// violated: a process that would start a task twice does less harm if it stops than if it keeps
+/// running.
 void invariant(bool condition, std::string_view description, std::string_view detail = {});
 
 } // namespace Common
--- a/Source/Core/Common/Log.cpp
+++ b/Source/Core/Common/Log.cpp
@@ -33,9 +33,10 @@
                                                 {LogLevel::Warning, "warning"},
                                                 {LogLevel::Error, "error"}}};
 
-/// Twice what a gateway writes at 150 jobs a second, with a line for each start and end of a run.
+/// Twice what a gateway writes at 150 jobs per second, with a line for each start and end of a run.
 constexpr std::uint64_t MaxLinesPerSecond = 4000;
-/// Lines that wait for the writing thread: half a second's. More are dropped.
+/// Most lines that wait for the writing thread: half a second at MaxLinesPerSecond. Further lines
+/// are dropped.
 constexpr std::size_t QueueLines = 2000;
 constexpr std::chrono::milliseconds FlushTimeout{300};
 
@@ -108,9 +109,9 @@
     line += needsQuotes(value) ? quoteValue(value) : value;
 }
 
-/// Lets MaxLinesPerSecond through, and tells how many more there were in the next second. Failures
-/// come in floods: a reader who is behind must not hold the process up, nor the lines of a flood
-/// take the processor that serves callers.
+/// Allows MaxLinesPerSecond lines per second, and reports with the first line of a later second how
+/// many were dropped. Failures come in bursts: a slow reader of the log must not block the process,
+/// and writing a burst of lines must not use the processor time that serves callers.
 class LineRateLimiter
 {
 public:
--- a/Source/Core/Common/Log.h
+++ b/Source/Core/Common/Log.h
@@ -32,17 +32,19 @@
     std::string value;
 };
 
-/// Log lines go to standard output, by a thread of their own: whoever logs never waits for the
-/// reader. Past a bound on the lines of a second, and on those that wait, lines are dropped; how
-/// many were over the first is told. \a process is put on each line.
+/// Starts to write log lines to standard output, on a separate thread, so that code that logs never
+/// waits for the reader of the log. Lines beyond a limit per second, or beyond a limit on queued
+/// lines, are dropped; only the number of lines beyond the first limit is logged. \a process is
+/// part of each line. An unknown \a levelName means "info".
 void startLogging(std::string_view process, std::string_view levelName);
 
-/// Writes out what waits. False where the reader does not take it: the process should then end
-/// without waiting for its threads.
+/// Writes the queued lines and stops logging. False if the reader of the log does not accept them
+/// in time: the process should then exit without waiting for its threads.
 bool stopLogging();
 
-/// Writes one line: time, level, process, event and the fields, as key=value pairs. A value with
-/// blanks, quotes or control characters is quoted and escaped, so that a line stays one line.
+/// Writes one line: time, level, process, event and the fields, as key=value pairs. A value that is
+/// empty or contains blanks, quotes, backslashes, '=' or control characters is quoted, and quotes,
+/// backslashes and control characters are escaped, so that each event stays on one line.
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
 void logEvent(LogLevel level, std::string_view event,
               const std::vector<std::pair<std::string, std::string>> &fields);
--- a/Source/Core/Common/Mailbox.h
+++ b/Source/Core/Common/Mailbox.h
@@ -8,7 +8,7 @@
 
 namespace Common {
 
-/// Hands typed messages from the traffic threads to the one control thread.
+/// Passes typed messages from the I/O threads to the single control thread.
 template <typename Message>
 class Mailbox
 {
@@ -22,7 +22,7 @@
         this->arrived.notify_one();
     }
 
-    /// Everything that has arrived, waiting at most \a timeout for the first message.
+    /// Takes all messages that have arrived, after waiting at most \a timeout for the first one.
     std::deque<Message> take(std::chrono::milliseconds timeout)
     {
         std::unique_lock<std::mutex> lock(this->mutex);
--- a/Source/Core/Common/Metrics.h
+++ b/Source/Core/Common/Metrics.h
@@ -11,7 +11,8 @@
 using MetricLabels = std::map<std::string, std::string>;
 
 /// A process's metrics, in the Prometheus text format. Safe to use from any thread; a series is
-/// made when first used. Names follow the Prometheus convention (auburntrail_..._total, _seconds).
+/// created when first used. Names follow the Prometheus convention (auburntrail_..._total,
+/// _seconds).
 class Metrics
 {
 public:
--- a/Source/Core/Common/Outcome.h
+++ b/Source/Core/Common/Outcome.h
@@ -7,14 +7,14 @@
 
 namespace Common {
 
-/// Why something could not be done, as a value.
+/// Reason and detail of an operation that failed.
 struct Failure
 {
     Schema::Reason reason = Schema::Reason::None;
     std::string detail;
 };
 
-/// A value, or a Failure for the nearest handler to take.
+/// A value, or a Failure that the nearest enclosing handle() passes to its handler.
 template <typename Value>
 using Outcome = boost::leaf::result<Value>;
 
@@ -23,7 +23,8 @@
     return boost::leaf::new_error(Failure{reason, std::move(detail)});
 }
 
-/// Runs \a attempt, which returns an Outcome, and gives its Failure to \a recover.
+/// Runs \a attempt, which returns an Outcome. If it fails, returns the result of \a recover, which
+/// receives the Failure.
 template <typename Attempt, typename Recover>
 auto handle(Attempt &&attempt, Recover &&recover)
 {
@@ -31,7 +32,7 @@
             std::forward<Attempt>(attempt),
             [&recover](const Failure &failed) { return recover(failed); },
             [&recover] {
-                return recover(Failure{Schema::Reason::None, "unexplained error"});
+                return recover(Failure{Schema::Reason::None, "unspecified error"});
             });
 }
 
--- a/Source/Core/Common/SettingsFile.cpp
+++ b/Source/Core/Common/SettingsFile.cpp
@@ -25,7 +25,7 @@
     return schema;
 }
 
-/// The error that lies deepest in the value: it names the member that is wrong.
+/// The error with the longest path into the value: it names the invalid member.
 std::string deepestError(valijson::ValidationResults &results)
 {
     std::string text;
@@ -164,7 +164,7 @@
     return node;
 }
 
-/// Schemas are compiled once: doing it for each request costs more than the check itself.
+/// Schemas are compiled once: compiling one for each request costs more than the check itself.
 const valijson::Schema &messageSchema(const std::string &definition)
 {
     static std::mutex mutex;
--- a/Source/Core/Common/SettingsFile.h
+++ b/Source/Core/Common/SettingsFile.h
@@ -8,9 +8,9 @@
 
 namespace Common {
 
-/// Reads a YAML settings file, fills in the schema's defaults and checks the whole against the
-/// definition \a definition of the settings schema. A failure names file, key, what was found and
-/// what is allowed. An empty \a path gives the defaults.
+/// Reads a YAML settings file, checks each setting against the definition \a definition of the
+/// settings schema and adds the schema's defaults. The failure for an invalid setting names file,
+/// key, the value found and what is allowed. An empty \a path gives the defaults.
 Outcome<nlohmann::json> loadSettingsJson(const std::string &path, const std::string &definition);
 
 template <typename Settings>
@@ -24,10 +24,10 @@
 /// \a path gives an empty object.
 Outcome<nlohmann::json> readYamlFile(const std::string &path);
 
-/// The settings in force as YAML, for --print-settings.
+/// Returns the effective settings as YAML, for --print-settings.
 std::string settingsYaml(const nlohmann::json &settings);
 
-/// Checks \a value against the definition \a definition of the message schema; the failure's detail
+/// Checks \a value against the definition \a definition of the message schema. The failure's detail
 /// names the member and the rule.
 Outcome<void> checkMessage(const nlohmann::json &value, const std::string &definition);
 
--- a/Source/Core/Common/TimerThread.h
+++ b/Source/Core/Common/TimerThread.h
@@ -9,8 +9,8 @@
 
 namespace Common {
 
-/// Runs functions at given times on one thread, so that thousands of pending answers need no thread
-/// each.
+/// Runs functions at given times on one thread, so that thousands of pending answers do not need
+/// one thread each.
 class TimerThread
 {
 public:
@@ -19,9 +19,10 @@
     TimerThread(const TimerThread &) = delete;
     TimerThread &operator=(const TimerThread &) = delete;
 
-    /// Functions due at the same time run in the order in which they were added.
+    /// Runs \a function after \a delay. Functions due at the same time run in the order in which
+    /// they were added. Does nothing after stop().
     void after(std::chrono::microseconds delay, std::function<void()> function);
-    /// Waits for the function that is running; those still pending are dropped.
+    /// Waits for the function that is running. Pending functions are discarded.
     void stop();
 
 private:
--- a/Source/Core/Daemon/Daemon.cpp
+++ b/Source/Core/Daemon/Daemon.cpp
@@ -46,7 +46,7 @@
 {
     const sigset_t signals = awaitedSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    // A peer that has gone is seen by the error of the write.
+    // A closed connection is detected by the error of the write.
     std::signal(SIGPIPE, SIG_IGN);
 }
 
@@ -63,7 +63,7 @@
     if (path.empty()) {
         return true;
     }
-    // Renamed into place, so that a reader never sees half of it.
+    // Renamed into place, so that a reader never sees a partial file.
     const std::string temporary = path + ".new";
     std::ofstream file(temporary);
     for (const auto &[name, port] : ports) {
@@ -77,16 +77,17 @@
 {
     Options options;
     CLI::App app{program.description
-                         + "\nExit codes: 0 stopped, 1 wrong arguments, 2 wrong settings, 3 "
-                           "address not to be had, 4 graceful stop timed out.",
+                         + "\nExit codes: 0 stopped, 1 invalid arguments, 2 invalid settings, 3 "
+                           "cannot listen on an address, 4 graceful stop timed out.",
                  program.name};
-    app.add_option("--settings", options.settingsFile, "Settings file (YAML); defaults without it");
-    app.add_option("--port-file", options.portFile, "Writes the ports it listens on to this file");
-    app.add_flag("--check", options.check, "Only checks the settings");
+    app.add_option("--settings", options.settingsFile, "Settings file (YAML); defaults if omitted");
+    app.add_option("--port-file", options.portFile,
+                   "Writes the ports that it listens on to this file");
+    app.add_flag("--check", options.check, "Checks the settings and exits");
     app.add_flag("--print-settings", options.printSettings,
-                 "Prints the settings in force and ends");
+                 "Prints the effective settings and exits");
     app.add_flag("--transient", options.transient,
-                 "Serves transient jobs: answered when they end, and kept nowhere");
+                 "Serves transient jobs, which are answered when they end and never stored");
     CLI11_PARSE(app, argc, argv);
     return runMode(program, options);
 }
--- a/Source/Core/Daemon/Daemon.h
+++ b/Source/Core/Daemon/Daemon.h
@@ -13,14 +13,15 @@
 
 #include "Common/Common.h"
 
-/// What the daemons' main functions share: command line, settings, port file, stop signals.
+/// Code shared by the main functions of the daemons: command line, settings, port file, stop
+/// signals.
 namespace Daemon {
 
 constexpr int SettingsError = 2;
 constexpr int AddressError = 3;
 constexpr int StopTimedOut = 4;
 
-/// Name and number of a port that the daemon listens on.
+/// Names and numbers of the ports that a daemon listens on.
 using Ports = std::vector<std::pair<std::string, std::uint16_t>>;
 
 struct Options
@@ -32,7 +33,7 @@
     bool transient = false;
 };
 
-/// One way to run a program: with the settings of \a definition in the settings schema.
+/// One mode of a program: its definition in the settings schema, and the function that runs it.
 struct Mode
 {
     std::string definition;
@@ -47,23 +48,26 @@
     Mode transient;
 };
 
+/// Parses the command line, loads the settings and runs the selected mode. Returns the exit code.
 int runProgram(int argc, char **argv, const Program &program);
 
-/// Keeps the stop signals for waitForSignal(). Called before any thread is started: threads inherit
-/// the mask, and none of them may take the signal instead.
+/// Blocks the signals that waitForSignal() waits for, and ignores SIGPIPE. Must be called before
+/// any thread is started: threads inherit the signal mask, and none of them may receive these
+/// signals.
 void blockSignals();
-/// Returns at SIGTERM, SIGINT or SIGHUP, with its number.
+/// Waits for SIGTERM, SIGINT or SIGHUP and returns its number.
 int waitForSignal();
-/// Writes a line NAME=PORT for each, whole or not at all. False where it can't be written; an empty
-/// \a path writes nothing.
+/// Writes a line NAME=PORT for each port and replaces the file atomically. False if the file cannot
+/// be written. An empty \a path writes nothing and returns true.
 bool writePorts(const std::string &path, const Ports &ports);
 
-/// Runs the daemon that \a build makes until it is told to stop. \a portsOf lists its ports.
+/// Runs the daemon that \a build creates until a stop signal arrives. \a portsOf returns its ports.
+/// Returns the exit code.
 template <typename Build, typename PortsOf>
 int serve(const std::string &name, const std::string &logLevel, const Options &options, Build build,
           PortsOf portsOf)
 {
-    // The log has a thread of its own, which would take the stop signal and end the process at
+    // The thread of the log would otherwise receive the stop signal, which would end the process at
     // once, with every request in progress.
     blockSignals();
     Common::startLogging(name, logLevel);
@@ -81,7 +85,8 @@
     std::thread waiter([&daemon] {
         int signal = waitForSignal();
         while (signal == SIGHUP) {
-            // Settings are read at the start: addresses cannot change while connections are open.
+            // Settings are read only at startup: addresses cannot change while connections are
+            // open.
             Common::logEvent(Common::LogLevel::Info, "reload_ignored", {{"signal", signal}});
             signal = waitForSignal();
         }
@@ -91,7 +96,7 @@
     try {
         stoppedInTime = daemon->run();
     } catch (const std::exception &error) {
-        Common::invariant(false, "the control thread throws nothing", error.what());
+        Common::invariant(false, "the control thread does not throw", error.what());
     }
     waiter.join();
     Common::logEvent(Common::LogLevel::Info, "stopped",
--- a/Source/Core/PlatformLog/LogClient.cpp
+++ b/Source/Core/PlatformLog/LogClient.cpp
@@ -14,7 +14,7 @@
 
 using Json = nlohmann::json;
 
-/// A follower of each stream and an append to each, with room for an append that hangs.
+/// A follower and an append for each stream, with room for appends that hang.
 constexpr int MaxConnections = 16;
 constexpr std::int64_t MaxRetryFactor = 8;
 constexpr int StatusOk = 200;
@@ -41,7 +41,7 @@
          {ReadFailure::BadStatus, "bad_status"},
          {ReadFailure::Malformed, "malformed"}}};
 
-/// An answer that can't be understood may still stand for a write.
+/// If the answer cannot be parsed, the records may nevertheless have been written.
 AppendResult durableResult(const std::string &body)
 {
     const Json json = Json::parse(body, nullptr, false);
@@ -51,8 +51,8 @@
     return {AppendStatus::Durable, json.at("offset").get<std::int64_t>()};
 }
 
-/// Only what proves that the service wrote nothing may count as Refused or Unavailable: the caller
-/// of a job learns "not run" from it. Anything else that is not a clear success is Unknown.
+/// Refused and Unavailable require proof that the service wrote nothing, because the caller of a
+/// job is then answered "not run". Anything else that is not a clear success is Unknown.
 AppendResult appendResult(const Net::HttpResult &result)
 {
     switch (result.transport) {
@@ -93,7 +93,8 @@
     return std::nullopt;
 }
 
-/// Stopping at a foreign record would cut the process off from everything behind it.
+/// Adds an entry, or skips it with a warning if it cannot be decoded. Stopping at a record of
+/// another writer would make all later records unreadable for this process.
 void addEntry(ReadResult &read, const Json &json, Stream stream)
 {
     try {
@@ -123,7 +124,7 @@
 }
 
 /// One stream being read. Has a read in flight or a pause pending, never both, so that only one
-/// thread looks at it at a time.
+/// thread accesses it at a time.
 struct Follower
 {
     Stream stream = Stream::Control;
@@ -152,7 +153,7 @@
         , client(std::make_unique<Net::HttpClient>(MaxConnections))
     {}
 
-    /// False after stop(): \a done is then never called.
+    /// Returns false after stop(); \a done is then never called.
     bool send(Net::HttpCall call, Net::HttpCallback done);
     void append(Stream stream, const std::vector<Schema::LogRecord> &records,
                 const std::function<void(AppendResult)> &done);
--- a/Source/Core/PlatformLog/LogClient.h
+++ b/Source/Core/PlatformLog/LogClient.h
@@ -11,12 +11,12 @@
 
 namespace PlatformLog {
 
-/// Streams the system keeps in the log.
+/// Streams that this system keeps in the platform's log.
 enum class Stream { Control, Journal, Config };
 const char *streamName(Stream stream);
 
-/// How an append ended. Unknown means that the service may have written the records: they are
-/// appended again under the same record ids, and readers drop the repetition. After Refused and
+/// Result of an append. Unknown means that the service may have written the records: they are
+/// appended again with the same record ids, and readers drop the duplicates. After Refused and
 /// Unavailable nothing was written.
 enum class AppendStatus { Durable, Unknown, Refused, Unavailable };
 const char *appendStatusName(AppendStatus status);
@@ -24,20 +24,20 @@
 struct AppendResult
 {
     AppendStatus status = AppendStatus::Unavailable;
-    /// Offset of the first record, where Durable.
+    /// Offset of the first record, if the status is Durable.
     std::int64_t offset = 0;
 };
 
 struct ReadResult
 {
-    /// False while the service does not answer; the follower goes on trying.
+    /// False while the service does not answer; the follower keeps retrying.
     bool available = false;
     std::vector<Schema::LogEntry> entries;
-    /// Offset from which the next read goes on.
+    /// Offset at which the next read continues.
     std::int64_t nextOffset = 0;
-    /// True when nothing more was there at the time of the read.
+    /// True if the stream had no further entries at the time of the read.
     bool atEnd = false;
-    /// Above the offset asked for when retention has dropped records: they are gone for good.
+    /// Above the requested offset if retention has removed records, which are then lost.
     std::int64_t oldestOffset = 0;
 };
 
@@ -46,18 +46,18 @@
     std::string url;
     std::int64_t appendTimeoutMs = 1000;
     std::int64_t longPollMs = 1000;
-    /// How long an answer may take beyond the long poll.
+    /// How long an answer may take beyond longPollMs.
     std::int64_t readTimeoutMs = 1000;
-    /// Pause before the first repetition of a read that failed. It doubles up to eight times this,
-    /// and is spread by half to either side: gateways that lost the service together would
-    /// otherwise come back to it together.
+    /// Delay before the first retry of a failed read. It doubles up to eight times this value, with
+    /// a jitter of half the delay to either side: gateways that lost the service together would
+    /// otherwise retry together.
     std::int64_t retryMs = 200;
-    /// Counts appends by status and repeated reads by reason, where set. Must outlive the client.
+    /// Counts appends by status and read retries by reason, if set. Must outlive the client.
     Common::Metrics *metrics = nullptr;
 };
 
-/// Talks to the log service on threads of its own. One attempt for each append: whether and when to
-/// try again is its user's decision.
+/// Client of the log service, on threads of its own. Each append is attempted once; its user
+/// decides whether and when to retry.
 class LogClient
 {
 public:
@@ -66,17 +66,17 @@
     LogClient(const LogClient &) = delete;
     LogClient &operator=(const LogClient &) = delete;
 
-    /// Appends \a records in one request, in order. \a done runs on a thread of the client, or at
-    /// once after stop().
+    /// Appends \a records in one request, in order. \a done runs on a thread of the client; after
+    /// stop() it is called at once with Unavailable.
     void append(Stream stream, const std::vector<Schema::LogRecord> &records,
                 const std::function<void(AppendResult)> &done);
-    /// Reads \a stream from \a offset on, for as long as the client lives. \a deliver gets every
-    /// answer of the service on a thread of the client, also an empty one, which shows that the
-    /// stream had no more at the time; and one result that is not available at the start of each
-    /// time without answers. A record that can't be read as one of ours is skipped.
+    /// Reads \a stream from \a offset on until the client stops. \a deliver receives every answer
+    /// of the service on a thread of the client, including empty ones, which show that the stream
+    /// had no further entries at the time, and one result whose available is false each time the
+    /// service stops answering. Records that cannot be decoded are skipped.
     void follow(Stream stream, std::int64_t offset, std::function<void(ReadResult)> deliver);
     /// Ends appends in flight as Unknown or Unavailable and waits for the threads. Nothing is
-    /// delivered afterwards. Not to be called from \a done or \a deliver.
+    /// delivered afterwards. Must not be called from \a done or \a deliver.
     void stop();
 
 private:
--- a/Source/Core/StoreClient/StoreClient.cpp
+++ b/Source/Core/StoreClient/StoreClient.cpp
@@ -15,12 +15,13 @@
 constexpr const char *CallCounter = "auburntrail_store_calls_total";
 
 /// One topic being read. Has a call in flight or a pause pending, never both, so that only one
-/// thread looks at it at a time.
+/// thread accesses it at a time.
 struct Follower
 {
     StoreTopic topic = StoreTopic::Operators;
     std::function<void(StoreUpdate)> deliver;
-    /// Reads the newest records of all keys, before and whenever the history has expired.
+    /// Whether the newest records of all keys are read next: at first, and whenever the history has
+    /// expired.
     bool readsNewest = true;
     std::string afterKey;
     std::int64_t newestOffset = 0;
@@ -77,7 +78,7 @@
 {
     call.timeoutMs = waitMs + this->settings.answerTimeoutMs;
     call.connectTimeoutMs = this->settings.answerTimeoutMs;
-    // A call that ends since this client stops tells nothing of the store.
+    // A call that ends because this client stops says nothing about the store.
     const auto unlessStopped = [this, done = std::move(done)](const Net::HttpResult &result) {
         if (!this->isStopped()) {
             done(result);
@@ -105,7 +106,7 @@
                    });
         return;
     }
-    // After a failure a short read shows whether the store answers again.
+    // After a failure, a read without waiting shows soon whether the store answers again.
     const std::int64_t waitMs = follower.isUnavailable ? 0 : this->settings.longPollMs;
     this->send(Platform::readCall(this->settings.address, follower.topic, follower.offset, waitMs),
                waitMs, [this, &follower](const Net::HttpResult &result) {
@@ -121,7 +122,7 @@
         this->retry(follower, result);
         return;
     }
-    // Pages are no snapshot: reading goes on from the end as it was at the first page.
+    // The pages are not a snapshot, so reading continues from the end offset of the first page.
     if (follower.afterKey.empty()) {
         follower.newestOffset = newest->nextOffset;
     }
--- a/Source/Core/StoreClient/StoreClient.h
+++ b/Source/Core/StoreClient/StoreClient.h
@@ -9,36 +9,38 @@
 #include "Common/Common.h"
 #include "platform/Platform.h"
 
-/// Client of the platform's store. Nothing on the path of a job waits for it.
+/// Client of the platform's store. No step in the processing of a job waits for it.
 namespace StoreClient {
 
 struct StoreSettings
 {
     /// host:port
     std::string address;
-    /// How long a read may wait for a record: each read is charged for, and a change comes at once.
+    /// How long a read may wait for a record. Long, because each read is charged for, and a new
+    /// record is returned at once.
     std::int64_t longPollMs = 10'000;
-    /// How long an answer may take beyond that: three times what a store takes that is sixty times
-    /// slower than usual. A gateway that starts while the store is silent serves nobody until it is
-    /// asked again.
+    /// How long an answer may take beyond longPollMs: three times the answer time of a store that
+    /// is sixty times slower than usual. A gateway that starts while the store does not answer
+    /// serves no callers until the store is read again.
     std::int64_t answerTimeoutMs = 800;
-    /// Pause before the first repetition of a call that failed. It doubles up to four times this,
-    /// and is spread by half to either side: processes that lost the store together would otherwise
-    /// come back to it together. Twelve gateways then make some 40 of its 2,000 reads a second.
+    /// Delay before the first retry of a failed call. It doubles up to four times this value, with
+    /// a jitter of half the delay to either side: processes that lost the store together would
+    /// otherwise retry together. Twelve gateways then make about 40 of the store's 2,000 reads per
+    /// second.
     std::int64_t retryMs = 150;
-    /// Counts calls by kind and outcome. Must outlive the client.
+    /// Counts calls by kind and outcome, if set. Must outlive the client.
     Common::Metrics *metrics = nullptr;
 };
 
-/// Records that were read, or the loss of the store.
+/// Records that were read, or the notice that the store does not answer.
 struct StoreUpdate
 {
-    /// False once each time the store stops answering.
+    /// False in the one update that is delivered each time the store stops answering.
     bool available = false;
     std::vector<Platform::StoreRecord> records;
 };
 
-/// Works on threads of its own.
+/// Runs on threads of its own.
 class Client
 {
 public:
@@ -47,16 +49,17 @@
     Client(const Client &) = delete;
     Client &operator=(const Client &) = delete;
 
-    /// Delivers the newest record of each key of \a topic, then every later one, for as long as
-    /// the client lives, on a thread of the client.
+    /// Delivers the newest record of each key of \a topic, then every later record, on a thread of
+    /// the client until it stops.
     void follow(Platform::StoreTopic topic, std::function<void(StoreUpdate)> deliver);
-    /// Delivers the newest record of each key once; nothing where the store does not answer.
+    /// Reads one page of the newest records and delivers it once. If the read fails, delivers an
+    /// update without records whose available is false.
     void readOnce(Platform::StoreTopic topic, std::function<void(StoreUpdate)> deliver);
-    /// Writes the record, again and again until it is acknowledged.
+    /// Writes the record, with retries until the store acknowledges it.
     void write(Platform::StoreTopic topic, const Platform::StoreRecord &record);
-    /// Writes the record, or not: for what is written again soon anyway.
+    /// Tries once to write the record; for records that will soon be written again anyway.
     void tryWrite(Platform::StoreTopic topic, const Platform::StoreRecord &record);
-    /// Nothing is delivered afterwards. Not to be called from a delivery.
+    /// Nothing is delivered afterwards. Must not be called from a \a deliver callback.
     void stop();
 
 private:
