--- a/Source/Core/Common/Backoff.h
+++ b/Source/Core/Common/Backoff.h
@@ -12,7 +12,7 @@
 std::int64_t nextBackoffMs(std::int64_t pauseMs, std::int64_t minMs, std::int64_t maxMs);
 
 /// Returns a random delay between half and one and a half times \a pauseMs: processes that lost a
-/// connection together would otherwise retry together.
+/// service together would otherwise retry together.
 std::chrono::milliseconds jitteredDelay(std::int64_t pauseMs, Random &random);
 
 } // namespace Common
--- a/Source/Core/Common/Ids.h
+++ b/Source/Core/Common/Ids.h
@@ -12,7 +12,8 @@
 /// Returns a generator seeded by the operating system.
 Random makeRandom();
 
-/// 64 random bits in hexadecimal, to identify one incarnation of a process, a record or a request.
+/// 64 random bits in hexadecimal: a unique id for an incarnation of a process, a record or a
+/// request.
 std::string randomId(Random &random);
 
 } // namespace Common
