--- a/Source/Core/Schema/Generated/Messages.h
+++ b/Source/Core/Schema/Generated/Messages.h
@@ -106,7 +106,7 @@
         std::optional<PlacementPolicy> placement{};
         std::optional<QueueingPolicy> queueing{};
         /**
-         * Shortest time between two rounds of starts; the starts of a round to one agent share a
+         * Minimum time between two rounds of starts; the starts of a round to one agent share a
          * message.
          */
         std::optional<int64_t> startBatchMs{};
@@ -127,15 +127,16 @@
     struct Team {
         std::string name{};
         /**
-         * Most tasks of the team running at once in the region; 0 means no limit.
+         * Maximum number of the team's tasks that run at the same time in the region; 0 means no
+         * limit.
          */
         std::optional<int64_t> quota{};
         std::optional<int64_t> weight{};
     };
 
     /**
-     * What operators set, as one document. version is the log offset after the last change in
-     * it.
+     * The operators' configuration as one document. version is the log offset after the last
+     * change in it.
      */
     struct Configuration {
         std::vector<Drain> drains{};
@@ -161,8 +162,8 @@
     };
 
     /**
-     * One try at running a task of a transient job. attempt rises with each order of the task
-     * by one gateway.
+     * One attempt to run a task of a transient job. attempt increases with each order of the
+     * task by one gateway.
      */
     struct TaskAttempt {
         int64_t attempt{};
@@ -170,8 +171,8 @@
     };
 
     /**
-     * How full a backend server is, over all gateways. lastOrder is the sequence of the last
-     * task_orders frame that this link's gateway sent and that is counted in.
+     * Load of a backend server, over all gateways. lastOrder is the sequence of the last
+     * task_orders frame from this link's gateway that the load includes.
      */
     struct AgentLoad {
         /**
@@ -180,20 +181,21 @@
         double committedProcessors{};
         int64_t lastOrder{};
         /**
-         * Mean time that a task there still takes, as far as estimates tell.
+         * Estimated mean remaining time of a task there.
          */
         double meanLeftMs{};
         /**
-         * Steady clock of the agent when it wrote this; the gateway repeats it in what it sends.
+         * Steady clock of the agent when it wrote this; the gateway returns it in the frames that
+         * it sends.
          */
         int64_t sentMs{};
         /**
-         * By how much tasks take longer there than their orders expect, as their progress shows; 1
-         * where they do not.
+         * Factor by which tasks take longer there than their orders expect, according to their
+         * progress; 1 if they do not.
          */
         double slowdown{};
         /**
-         * The most urgent priority that this agent has met.
+         * The most urgent priority that this agent has received an order for.
          */
         int64_t urgentPriority{};
         /**
@@ -201,41 +203,41 @@
          */
         double urgentWaitMs{};
         /**
-         * Until a task behind all that waits there could start.
+         * Time until a task queued behind all that waits there could start.
          */
         double waitMs{};
     };
 
     /**
-     * Jobs that an agent has tasks of and whose gateway may not live to settle them. Other
-     * gateways start nothing of a job in either list.
+     * Jobs that an agent has tasks of and whose gateway may have failed before it can settle
+     * them. Other gateways start no task of a job in either list.
      */
     struct OrphanedJobs {
         /**
-         * Of gateways that the agent has not heard from lately. Their tasks run on until the last
-         * lease has lapsed.
+         * Jobs of gateways from which the agent has received nothing recently. Their tasks run on
+         * until the last lease has lapsed.
          */
         std::vector<std::string> held{};
         /**
-         * With a start that was not answered and whose stop is not confirmed: it may take effect
-         * seconds later.
+         * Jobs with a start that was not answered and whose stop is not confirmed: the start may
+         * take effect seconds later.
          */
         std::vector<std::string> unanswered{};
     };
 
     /**
-     * First frame of an agent on a link, and again when its backend server changes. held lists
-     * the attempts of this gateway that the agent knows, so that orders lost with an earlier
-     * link are found.
+     * First frame of an agent on a link, and sent again when its backend server changes. held
+     * lists the attempts of this gateway that the agent knows, so that orders lost with an
+     * earlier link are detected.
      */
     struct AgentAnnouncement {
         /**
-         * False while the backend server leaves, is not known yet or does not answer, and while the
-         * agent stops.
+         * False while the backend server is leaving, is not known yet or does not answer, and while
+         * the agent is stopping.
          */
         bool accepting{};
         /**
-         * Nothing that an earlier process of this agent had started runs any more.
+         * True if nothing that a previous incarnation of this agent started runs any more.
          */
         bool clean{};
         std::string failureDomain{};
@@ -250,7 +252,7 @@
     };
 
     /**
-     * What an agent announces of its backend server.
+     * Description of a backend server, announced by its agent.
      */
     struct BackendServer {
         int64_t connections{};
@@ -267,8 +269,8 @@
     };
 
     /**
-     * First frame on a connection to a gateway and the heartbeat after it; backend is sent on
-     * the first and after a change.
+     * First frame on a connection to a gateway, and the heartbeat after it. backend is sent in
+     * the first frame and after a change.
      */
     struct AgentHello {
         BackendServer backend{};
@@ -283,19 +285,19 @@
         int64_t sequence{};
         int64_t tableVersion{};
         /**
-         * Most tasks of the receiving gateway that the agent will hold at once.
+         * Maximum number of tasks of the receiving gateway that the agent holds at the same time.
          */
         int64_t window{};
     };
 
     /**
-     * not_started: it never ran and never will. stopped: it may have run for a while and is
-     * over now.
+     * not_started: the attempt never ran and never will. stopped: it may have run for a while
+     * and has ended.
      */
     enum class AttemptPhase : int { Failed, NotStarted, Running, Stopped, Succeeded };
 
     /**
-     * Why a job or task was refused, failed or retried. Each has its counter.
+     * Why a job or task was refused, failed or retried. Each reason has a counter.
      */
     enum class Reason : int { AgentDraining, AgentLost, AttemptsExhausted, BackendLost, BackendRefused, BackendSlow, BackendUnreachable, BadTaskCount, BodyTooLarge, CallerGone, CallerLimit, Cancelled, ConfigConflict, ConfigInvalid, ConnectionLost, DeadlinePassed, DeadlineUnreachable, EpochFenced, GatewayLost, IdConflict, LeaseLapsed, LogUnavailable, Malformed, NeverRunnable, NoBackend, NoConfiguration, NoRoom, NoSlot, None, NotAfterPassed, NotReady, OwnerUnreachable, PredecessorUnlogged, QueueFull, QuotaExceeded, StartUnacknowledged, StartUnanswered, Stopping, SubmissionInFuture, SubmissionTooOld, TaskFailed, TaskLost, UnknownJob, UnknownQueue, UnknownService, UnknownTeam, UnsupportedJob, Withdrawn };
 
@@ -304,15 +306,15 @@
         AttemptPhase phase{};
         Reason reason = Reason::None;
         /**
-         * Time from the start to the end; 0 where nothing ran.
+         * Time from the start to the end; 0 if nothing ran.
          */
         int64_t runMs{};
         std::string task{};
     };
 
     /**
-     * What became of attempts, and the load. Also an agent's heartbeat. orphans is there when
-     * it has changed.
+     * States of attempts, and the load. Also an agent's heartbeat. orphans is present if it has
+     * changed.
      */
     struct AgentReport {
         AgentLoad load{};
@@ -321,9 +323,9 @@
     };
 
     /**
-     * A new owner asks the gateways which agents may hold tasks of its predecessor. An agent
-     * accepts a start only when it has heard from a majority of the roster, so that the answers
-     * of any majority name it.
+     * Request of a new owner to the gateways for the agents that may hold tasks of its
+     * predecessor. An agent accepts a start only if it has received frames from a majority of
+     * the roster, so that the answers of any majority include it.
      */
     struct AskAgents {
         std::string requestId{};
@@ -336,15 +338,15 @@
          */
         int64_t epoch{};
         /**
-         * Instance of the gateway; empty when nobody has claimed it.
+         * Instance of the gateway; empty if no gateway has claimed the shard.
          */
         std::string owner{};
         int64_t shard{};
     };
 
     /**
-     * A new owner asks for all that an agent holds of some shards. The agent takes the epochs
-     * in first, so that its answer stays true.
+     * Request of a new owner for all tasks of some shards that an agent holds. The agent
+     * applies the epochs before it answers, so that its answer stays valid.
      */
     struct AskTasks {
         std::string requestId{};
@@ -363,8 +365,8 @@
     };
 
     /**
-     * Body of POST /v1/jobs. id and firstSubmittedMs are kept by the caller when it resubmits;
-     * both or neither are given.
+     * Body of POST /v1/jobs. A caller that resubmits keeps id and firstSubmittedMs; either both
+     * or neither are given.
      */
     struct SubmitJob {
         std::string caller{};
@@ -391,8 +393,8 @@
     enum class JobOutcome : int { Completed, Failed, Pending, Refused, Unknown };
 
     /**
-     * What a caller learns. results holds every task's result in task order when outcome is
-     * completed, and is absent otherwise. notRun is true only when no task of the job was
+     * Answer to a caller. results contains every task's result in task order if outcome is
+     * completed, and is absent otherwise. notRun is true only if no task of the job was
      * started.
      */
     struct JobAnswer {
@@ -411,7 +413,7 @@
 
     struct QueryAnswer {
         /**
-         * Where in the text the error is, from 1.
+         * Position of the error in the text, counted from 1.
          */
         std::optional<int64_t> column{};
         std::vector<std::string> columns{};
@@ -447,7 +449,7 @@
 
     struct OrphanedJob {
         /**
-         * By then nothing of it runs any more, unless it is told again.
+         * Time after which nothing of the job runs any more, unless the job is listed again.
          */
         int64_t forMs{};
         std::string job{};
@@ -458,18 +460,18 @@
      */
     struct GatewayAnnouncement {
         /**
-         * To an agent: sentMs of the last load heard from it. What it does for this gateway it may
-         * do for a lease from that time on; 0 grants nothing.
+         * In a frame to an agent: sentMs of the last load received from it. The agent may act for
+         * this gateway for one lease from that time on; 0 grants nothing.
          */
         int64_t echoMs{};
         Member gateway{};
         /**
-         * To a gateway: jobs that agents hold for others. Agents may not be able to tell it so
-         * themselves.
+         * In a frame to a gateway: jobs that agents hold for other gateways. The agents may be
+         * unable to report them to the receiver themselves.
          */
         std::optional<std::vector<OrphanedJob>> orphans{};
         /**
-         * Gateways that this one has heard from lately.
+         * Gateways from which this one has recently received frames.
          */
         std::vector<Member> others{};
         int64_t queuesVersion{};
@@ -480,7 +482,7 @@
      */
     struct OwnershipTable {
         /**
-         * The roster before that change; empty once it is settled.
+         * The roster before that change; empty once the change is settled.
          */
         std::vector<Member> previousRoster{};
         std::vector<Member> roster{};
@@ -514,8 +516,8 @@
     };
 
     /**
-     * not_started is a promise: the task has not started here and, under the epoch asked with,
-     * never will.
+     * not_started guarantees that the task has not started at this agent and, under the epoch
+     * of the request, never will.
      */
     enum class TaskPhase : int { Failed, NotStarted, Running, Succeeded, Unknown };
 
@@ -553,14 +555,15 @@
     };
 
     /**
-     * A leaving owner gives shards, with their jobs and the next epochs, to one successor. It
-     * has stopped starting tasks of them.
+     * A leaving owner hands over shards, with their jobs and the next epochs, to one successor.
+     * It has stopped starting tasks of these shards.
      */
     struct Handover {
         std::string from{};
         std::vector<JobSnapshot> jobs{};
         /**
-         * Offset up to which the sender has read the journal; the successor serves once it has too.
+         * Offset up to which the sender has read the journal; the successor serves the shards once
+         * it has read up to it too.
          */
         int64_t journalOffset{};
         std::string requestId{};
@@ -575,12 +578,12 @@
 
     struct KnownAgents {
         /**
-         * Instances of the agents it has a connection to.
+         * Instances of the agents that the sender is connected to.
          */
         std::vector<std::string> agents{};
         /**
-         * Wall-clock time since which no other agent can have held a task: the sender was up and
-         * lost no agent for good.
+         * Wall-clock time since which no other agent can have held a task: since then the sender
+         * has been running and has lost no agent permanently.
          */
         int64_t completeSinceMs{};
         std::string instance{};
@@ -593,19 +596,20 @@
     };
 
     /**
-     * Heartbeat between gateways. tableVersion is the table the sender passes to agents; it
-     * never goes below it.
+     * Heartbeat between gateways. tableVersion is the version of the table that the sender
+     * passes to agents; the sender never returns to a lower one.
      */
     struct PeerPing {
         /**
-         * Unlogged declarations the sender knows of.
+         * Unlogged declarations that the sender knows.
          */
         std::vector<UnloggedNotice> acknowledgedUnlogged{};
         std::optional<Configuration> configuration{};
         int64_t configVersion{};
         /**
-         * Of the receiver's last heartbeat that the sender has heard; 0 before. Tells the receiver
-         * how fresh this is, however long it has lain in a socket.
+         * Sequence of the receiver's last heartbeat that the sender has received; 0 before the
+         * first. Shows the receiver how recent this frame is, however long it was buffered in a
+         * socket.
          */
         int64_t heardSequence{};
         std::string instance{};
@@ -614,11 +618,12 @@
          */
         int64_t journalOffset{};
         /**
-         * The sender stops gracefully and takes no shards.
+         * The sender is stopping gracefully and takes no shards.
          */
         bool leaving{};
         /**
-         * Gateways the sender hears from: nobody takes over from one that a third still hears.
+         * Gateways that the sender receives heartbeats from. No gateway takes over from one whose
+         * heartbeats a third gateway still receives.
          */
         std::vector<std::string> live{};
         bool reply{};
@@ -626,29 +631,29 @@
         std::optional<OwnershipTable> table{};
         int64_t tableVersion{};
         /**
-         * 0, or: the sender may start jobs first submitted at or after this wall-clock time without
-         * an intent in the log.
+         * The sender may start jobs first submitted at or after this wall-clock time without an
+         * intent in the log; 0 if it starts no job without one.
          */
         int64_t unloggedSinceMs{};
     };
 
     /**
-     * Where transient jobs of one sort are handed in and which service runs them.
+     * Where transient jobs of one kind are submitted, and which service runs them.
      */
     struct JobQueue {
         /**
-         * A task that has failed this often fails its job.
+         * The job fails when one of its tasks has failed this many times.
          */
         int64_t attemptLimit{};
         std::string host{};
         double latencyFactor{};
         std::string name{};
         /**
-         * Paths that begin so belong to the queue; the longest wins.
+         * Prefix of the paths that belong to the queue; the longest matching prefix is used.
          */
         std::string path{};
         /**
-         * 0 goes first.
+         * 0 is the most urgent.
          */
         int64_t priority{};
         std::string service{};
@@ -659,7 +664,7 @@
     };
 
     /**
-     * The operators' queues in full. A process never goes back to a lower version.
+     * All queues of the operators. A process never returns to a lower version.
      */
     struct QueueTable {
         std::vector<JobQueue> queues{};
@@ -692,30 +697,31 @@
     };
 
     /**
-     * Tasks of one step of a transient job for one agent. Times are counted from the sending.
+     * Tasks of one step of a transient job for one agent. Times are relative to the sending of
+     * the frame.
      */
     struct TaskOrders {
         /**
-         * Nothing of the job may run later.
+         * Time after which nothing of the job may run.
          */
         int64_t deadlineInMs{};
         /**
-         * sentMs of the last load heard from this agent.
+         * sentMs of the last load received from this agent.
          */
         int64_t echoMs{};
         /**
-         * On this backend server.
+         * Expected run time on this backend server.
          */
         int64_t expectedRunMs{};
         std::string payload{};
         /**
-         * Of the queue; 0 goes first.
+         * Priority of the queue; 0 is the most urgent.
          */
         int64_t priority{};
         Resources resources{};
         int64_t sequence{};
         /**
-         * The job should have ended by then.
+         * Time by which the job should have ended.
          */
         int64_t targetInMs{};
         std::vector<TaskAttempt> tasks{};
@@ -723,8 +729,8 @@
 
     struct TaskState {
         /**
-         * Attempt of that start. not_started covers this epoch and attempt and all below: the owner
-         * takes it as an answer only to a start that is not above, since a late refusal may cross a
+         * Attempt of that start. not_started covers this epoch and attempt and all lower ones: the
+         * owner accepts it only for a start that is not higher, because a late refusal may cross a
          * newer start.
          */
         int64_t attempt{};
@@ -745,7 +751,7 @@
      */
     struct TaskStates {
         /**
-         * Request id of the AskTasks this answers whole.
+         * Request id of the AskTasks that this frame answers completely.
          */
         std::optional<std::string> answerTo{};
         std::string instance{};
@@ -757,7 +763,7 @@
     enum class FrameType : int { AcknowledgeTasks, AgentAnnouncement, AgentHello, AgentReport, AskAgents, AskTasks, CancelTasks, Forward, ForwardAnswer, GatewayAnnouncement, GatewayPong, Handover, HandoverAccepted, KnownAgents, PeerPing, QueueTable, StartTasks, TaskOrders, TaskStates, WithdrawTasks };
 
     /**
-     * Attempts that are not wanted any more. The agent drops or stops them and reports each.
+     * Attempts that are no longer needed. The agent drops or stops them and reports each one.
      */
     struct WithdrawTasks {
         std::vector<TaskAttempt> tasks{};
@@ -792,19 +798,19 @@
     };
 
     /**
-     * How long the callers of a queue are ready to wait.
+     * How long the callers of a queue wait for an answer.
      */
     struct LearnedPatience {
         std::string queue{};
         int64_t samples{};
         /**
-         * That nearly all of them have left when they reach a gateway.
+         * Remaining timeout that nearly all of them still have when they reach a gateway.
          */
         double usualMs{};
     };
 
     /**
-     * Run times of one sort of task.
+     * Run times of one kind of task.
      */
     struct LearnedProfile {
         /**
@@ -816,11 +822,11 @@
          */
         double meanLog{};
         /**
-         * On a backend server of factor 1.
+         * Mean run time on a backend server of factor 1.
          */
         double meanMs{};
         /**
-         * Tasks that it rests on.
+         * Number of tasks that the means are based on.
          */
         int64_t samples{};
     };
@@ -834,30 +840,30 @@
          */
         std::string agent{};
         /**
-         * Of the backend server: another one may come to the same place.
+         * Labels of the backend server, because another one may replace it at the same agent.
          */
         std::vector<std::string> labels{};
         /**
-         * Natural logarithm of its run times over the mean ones.
+         * Natural logarithm of the ratio of its run times to the mean ones.
          */
         double logFactor{};
         int64_t samples{};
     };
 
     /**
-     * What a gateway has learned of run times and callers, kept in the platform's store for
-     * gateways that start.
+     * Values that a gateway has learned about run times and callers, kept in the platform's
+     * store for gateways that start.
      */
     struct LearnedTimes {
         /**
-         * Instance of its writer.
+         * Instance of the gateway that wrote this.
          */
         std::string gateway{};
         std::vector<LearnedPatience> patiences{};
         std::vector<LearnedProfile> profiles{};
         std::vector<LearnedSpeed> speeds{};
         /**
-         * Wall clock of its writer.
+         * Wall clock of the gateway that wrote this.
          */
         int64_t writtenMs{};
     };
@@ -865,7 +871,7 @@
     enum class ConfigKind : int { Drain, Policy, Service, Team };
 
     /**
-     * One key set or removed. Wins when no change to its key has a version above basedOn.
+     * Sets or removes one key. Accepted if no change to its key has a version above basedOn.
      */
     struct ConfigChange {
         std::optional<Drain> drain{};
@@ -891,8 +897,8 @@
     enum class RecordKind : int { Claim, Config, ConfigSnapshot, ControlSnapshot, HandedOver, Intents, Join, Leave, RosterSettled, ShardsTaken };
 
     /**
-     * One record of a stream in the platform's log. Readers drop an id seen before: an append
-     * whose answer was lost is sent again under the same id.
+     * One record of a stream in the platform's log. Readers drop a record whose id they have
+     * already read: an append whose answer was lost is sent again with the same id.
      */
     struct LogRecord {
         /**
@@ -909,7 +915,7 @@
         RecordKind kind{};
         std::optional<Member> member{};
         /**
-         * join: instance of the silent member whose seat the new one takes; leave: the member that
+         * join: instance of the silent member that the new one replaces; leave: the member that
          * leaves.
          */
         std::optional<std::string> replaces{};
@@ -936,7 +942,7 @@
 
     /**
      * Body of POST /run from an agent to its backend server. The backend server refuses with
-     * status 412 when its clock has passed notAfterMs: nothing was started.
+     * status 412, without starting anything, if its clock has passed notAfterMs.
      */
     struct RunTask {
         int64_t index{};
--- a/Source/Core/Schema/Generated/Settings.h
+++ b/Source/Core/Schema/Generated/Settings.h
@@ -137,18 +137,18 @@
 
     struct GatewaySettings {
         /**
-         * An agent not heard from for this long gets no work.
+         * An agent from which nothing was received for this long gets no work.
          */
         int64_t agentSilenceMs{};
         /**
-         * How long a job id is remembered; shorter than the log's retention.
+         * How long a job id is stored to detect resubmissions; shorter than the log's retention.
          */
         int64_t dedupWindowMs{};
         int64_t defaultDeadlineMs{};
         std::string failureDomain{};
         int64_t heartbeatMs{};
         /**
-         * IP address it listens on and is reached at.
+         * IP address that the gateway listens on and is reached at.
          */
         std::string host{};
         /**
@@ -157,11 +157,12 @@
         int64_t httpPort{};
         int64_t httpThreads{};
         /**
-         * Shortest time between two appends of intents.
+         * Minimum time between two appends of intents.
          */
         int64_t journalBatchMs{};
         /**
-         * How long an agent accepts starts after it last heard from a majority of the roster.
+         * How long an agent accepts starts after it last received frames from a majority of the
+         * roster.
          */
         int64_t leaseMs{};
         LogLevel logLevel{};
@@ -180,7 +181,7 @@
          */
         int64_t peerPort{};
         /**
-         * A gateway not heard from for this long loses its shards.
+         * A gateway from which nothing was received for this long loses its shards.
          */
         int64_t peerSilenceMs{};
         std::string region{};
@@ -194,7 +195,7 @@
          */
         int64_t stopTimeoutMs{};
         /**
-         * Without a durable append for this long, tasks start unlogged.
+         * After this time without a durable append, tasks start unlogged.
          */
         int64_t unloggedAfterMs{};
     };
@@ -207,7 +208,7 @@
          */
         std::string backendAddress{};
         /**
-         * Decisions that are switched off, to see what each is worth.
+         * Decisions that are switched off, to show the effect of each.
          */
         std::vector<AgentDecision> disabledDecisions{};
         std::string failureDomain{};
@@ -217,7 +218,8 @@
          */
         std::string host{};
         /**
-         * Time that each renewal grants to what runs; at most what the backend server allows.
+         * Length of the lease that each renewal grants to running tasks; at most what the backend
+         * server allows.
          */
         int64_t leaseMs{};
         LogLevel logLevel{};
@@ -237,12 +239,12 @@
         std::vector<std::string> seeds{};
         std::string service{};
         /**
-         * A gateway without a frame for this long counts as lost: what it asked for is stopped.
-         * Well under the time after which its callers submit again.
+         * A gateway without a frame for this long counts as lost, and the tasks that it ordered are
+         * stopped. Well under the time after which its callers submit again.
          */
         int64_t silenceMs{};
         /**
-         * How long running tasks may go on after a stop was asked for.
+         * How long running tasks may continue after a stop was requested.
          */
         int64_t stopTimeoutMs{};
         /**
@@ -259,12 +261,13 @@
          */
         std::string callerAddress{};
         /**
-         * Decisions that are switched off, to see what each is worth.
+         * Decisions that are switched off, to show the effect of each.
          */
         std::vector<GatewayDecision> disabledDecisions{};
         std::string failureDomain{};
         /**
-         * Three beats fit into silenceMs, so that one lost or late beat means nothing.
+         * Interval of heartbeats. Three fit into silenceMs, so that one lost or late heartbeat has
+         * no effect.
          */
         int64_t heartbeatMs{};
         /**
@@ -272,7 +275,7 @@
          */
         std::string host{};
         /**
-         * Longest time a task runs on after its agent has stopped renewing.
+         * Longest time that a task runs on after its agent has stopped renewing its lease.
          */
         int64_t leaseMs{};
         LogLevel logLevel{};
