--- a/Source/Core/Net/HttpServer.cpp
+++ b/Source/Core/Net/HttpServer.cpp
@@ -24,16 +24,17 @@
 
 namespace Http = Pistache::Http;
 
-/// Room for the request line, headers and chunk sizes beside the body.
+/// Maximum size of the request line, headers and chunk sizes, in addition to the body.
 constexpr std::size_t HeaderRoomBytes = std::size_t{64} << 10U;
-/// Pistache answers 408 when this has passed since a request, also while its answer is still owed:
-/// with its default of a minute a job that waits longer would be cut off. Longer than the longest
-/// deadline of a job; connections whose caller vanished are found by watchForSilence() instead.
+/// Pistache answers 408 when this time has passed since a request, even if the request is not yet
+/// answered: with its default of one minute, a job that waits longer would be cut off. This is
+/// longer than the longest deadline of a job. Connections of callers that have vanished are
+/// detected by enableKeepalive() instead.
 constexpr std::chrono::hours IdleTimeout{2};
-/// How long stop() waits for answers that are sent but not yet written.
+/// How long stop() waits until answers that were sent are written to their connections.
 constexpr std::chrono::seconds FlushTimeout{2};
 
-/// The library knows no such header, and writes only headers of a type it is given.
+/// The library has no class for this header, and writes only headers that have a class.
 class RetryAfter : public Http::Header::Header
 {
 public:
@@ -49,8 +50,9 @@
     int seconds;
 };
 
-/// Stands between replies, which live as long as their holder likes, and the endpoint, which ends.
-struct Gate
+/// State shared by the endpoint and the replies. A reply may outlive the endpoint and checks isOpen
+/// before it uses it.
+struct EndpointState
 {
     std::shared_mutex mutex;
     bool isOpen = true;
@@ -75,36 +77,36 @@
     }
 };
 
-/// Counts an answer as unwritten for as long as the library holds what follows its writing. Where
-/// the caller has gone, the library drops that without a call: counted down by a call only, one
-/// such caller made every later stop wait for the whole FlushTimeout, while requests were still
-/// taken and nobody answered them.
+/// Counts an answer as unwritten while the library holds the callback for the end of its write. If
+/// the caller has disconnected, the library destroys the callback without calling it. A count that
+/// only the call itself decremented would stay too high after one such caller: every later stop
+/// would wait for the whole FlushTimeout while requests are still accepted and not answered.
 class UnwrittenAnswer
 {
 public:
-    explicit UnwrittenAnswer(std::shared_ptr<Gate> gate)
-        : gate(std::move(gate))
+    explicit UnwrittenAnswer(std::shared_ptr<EndpointState> endpointState)
+        : endpointState(std::move(endpointState))
     {
-        this->gate->addUnwritten(1);
+        this->endpointState->addUnwritten(1);
     }
-    ~UnwrittenAnswer() { this->gate->addUnwritten(-1); }
+    ~UnwrittenAnswer() { this->endpointState->addUnwritten(-1); }
     UnwrittenAnswer(const UnwrittenAnswer &) = delete;
     UnwrittenAnswer &operator=(const UnwrittenAnswer &) = delete;
 
 private:
-    std::shared_ptr<Gate> gate;
+    std::shared_ptr<EndpointState> endpointState;
 };
 
-/// What the server keeps of a connection.
+/// State of one connection.
 struct ConnectionState
 {
     std::uint64_t number = 0;
     bool isRefused = false;
     /// Whether "100 Continue" was sent for the request being read.
     bool isContinued = false;
-    /// Guards isGone while an answer is handed to the library.
+    /// Guards isDisconnected while an answer is handed to the library.
     std::mutex mutex;
-    bool isGone = false;
+    bool isDisconnected = false;
 };
 
 HttpResponse refusal(int status, Schema::Reason reason, const std::string &detail)
@@ -123,7 +125,7 @@
 {
     constexpr int ContentTooLarge = 413;
     return refusal(ContentTooLarge, Schema::Reason::BodyTooLarge,
-                   "a body may have " + std::to_string(limit) + " bytes");
+                   "the body exceeds the limit of " + std::to_string(limit) + " bytes");
 }
 
 HttpResponse malformedRequest(const std::string &detail)
@@ -132,9 +134,9 @@
     return refusal(BadRequest, Schema::Reason::Malformed, "HTTP: " + detail);
 }
 
-/// Lets the kernel notice a caller that vanished without a word, whose connection would otherwise
-/// be held until the idle timeout.
-void watchForSilence(int socket)
+/// Lets the kernel detect a caller that has vanished without closing its connection. Otherwise the
+/// connection would be kept until IdleTimeout.
+void enableKeepalive(int socket)
 {
     constexpr int On = 1;
     constexpr int IdleSeconds = 60;
@@ -186,10 +188,10 @@
 struct HttpReply::Implementation
 {
     Implementation(Http::ResponseWriter writer, std::shared_ptr<ConnectionState> connection,
-                   std::shared_ptr<Gate> gate)
+                   std::shared_ptr<EndpointState> endpointState)
         : writer(std::move(writer))
         , connection(std::move(connection))
-        , gate(std::move(gate))
+        , endpointState(std::move(endpointState))
     {}
     Implementation(const Implementation &) = delete;
     Implementation &operator=(const Implementation &) = delete;
@@ -207,30 +209,32 @@
         if (this->isAnswered.exchange(true)) {
             return false;
         }
-        // The writer refers to the endpoint's transport, which is gone after stop().
-        const std::shared_lock<std::shared_mutex> lock(this->gate->mutex);
-        if (!this->gate->isOpen) {
+        // The writer refers to the endpoint's transport, which does not exist any more after
+        // stop().
+        const std::shared_lock<std::shared_mutex> lock(this->endpointState->mutex);
+        if (!this->endpointState->isOpen) {
             return false;
         }
-        // The library queues an answer under the number of its socket. Once the caller has gone,
-        // another one may have that number, and would get an answer that it never asked for.
+        // The library queues an answer by the number of its socket. After the caller has
+        // disconnected, the number may be reused for another caller, which would receive an answer
+        // to a request that it did not send.
         const std::lock_guard<std::mutex> connectionLock(this->connection->mutex);
-        if (this->connection->isGone) {
+        if (this->connection->isDisconnected) {
             return false;
         }
         if (response.retryAfterSeconds > 0) {
             this->writer.headers().add<RetryAfter>(response.retryAfterSeconds);
         }
         const std::shared_ptr<Pistache::Tcp::Peer> peer =
-                response.closesConnection ? this->livePeer() : nullptr;
+                response.closesConnection ? this->connectedPeer() : nullptr;
         if (peer) {
-            // The library keeps the first header of a name.
+            // If a header is added twice, the library keeps the first one.
             this->writer.headers().remove<Http::Header::Connection>();
             this->writer.headers().add<Http::Header::Connection>(Http::ConnectionControl::Close);
         }
-        const auto unwritten = std::make_shared<UnwrittenAnswer>(this->gate);
+        const auto unwritten = std::make_shared<UnwrittenAnswer>(this->endpointState);
         const auto written = [unwritten, peer] {
-            // The transport closes the connection when the caller has closed its side too.
+            // The transport closes the connection after the caller has closed its side too.
             if (peer) {
                 ::shutdown(peer->fd(), SHUT_WR);
             }
@@ -243,19 +247,19 @@
         return true;
     }
 
-    std::shared_ptr<Pistache::Tcp::Peer> livePeer() const
+    std::shared_ptr<Pistache::Tcp::Peer> connectedPeer() const
     {
         try {
             return this->writer.getPeer();
         } catch (const std::exception &) {
-            // The library throws where the caller has gone: there is nothing left to close.
+            // The library throws if the caller has disconnected: there is nothing left to close.
             return nullptr;
         }
     }
 
     Http::ResponseWriter writer;
     std::shared_ptr<ConnectionState> connection;
-    std::shared_ptr<Gate> gate;
+    std::shared_ptr<EndpointState> endpointState;
     std::atomic<bool> isAnswered = false;
 };
 
@@ -270,24 +274,26 @@
 
 namespace {
 
-/// Under which a Pistache::Tcp::Peer keeps it.
+/// Key of the ConnectionState in the data of a Pistache::Tcp::Peer.
 constexpr const char *ConnectionStateName = "connectionState";
 
-/// Pistache's way into a HttpHandler. It takes the place of the library's own reading of requests,
-/// which goes on scanning a body that is too long: 4 MB of it held a thread for seconds, and the
-/// caller had no answer. Here such a connection is answered once and nothing more is parsed.
+/// Passes requests from Pistache to an HttpHandler. Replaces the library's own reading of requests,
+/// which keeps scanning a body that is too long: 4 MB of it occupied a thread for seconds, and the
+/// caller received no answer. Here such a connection is answered once, and no further input is
+/// parsed.
 class RequestHandler : public Http::Handler
 {
 public:
     HTTP_PROTOTYPE(RequestHandler)
 
-    RequestHandler(HttpHandler handler, HttpRefused refused, HttpDisconnected disconnected,
-                   std::size_t bodyLimit, std::shared_ptr<Gate> gate)
+    RequestHandler(HttpHandler handler, HttpRefusalListener refused,
+                   HttpDisconnectionListener disconnected, std::size_t bodyLimit,
+                   std::shared_ptr<EndpointState> endpointState)
         : handler(std::move(handler))
         , refused(std::move(refused))
         , disconnected(std::move(disconnected))
         , bodyLimit(bodyLimit)
-        , gate(std::move(gate))
+        , endpointState(std::move(endpointState))
     {}
 
     void onRequest(const Http::Request &request, Http::ResponseWriter writer) override
@@ -298,8 +304,8 @@
                                           : request.version() == Http::Version::Http10;
         writer.headers().add<Http::Header::Connection>(
                 isClosing ? Http::ConnectionControl::Close : Http::ConnectionControl::KeepAlive);
-        const HttpReply reply(
-                std::make_shared<HttpReply::Implementation>(std::move(writer), state, this->gate));
+        const HttpReply reply(std::make_shared<HttpReply::Implementation>(std::move(writer), state,
+                                                                          this->endpointState));
         HttpRequest converted = convert(request);
         converted.connection = state->number;
         this->handler(std::move(converted), reply);
@@ -310,11 +316,11 @@
 
     void onConnection(const Peer &peer) override
     {
-        watchForSilence(peer->fd());
+        enableKeepalive(peer->fd());
         peer->putData(ParserData, std::make_shared<Http::RequestParser>(this->getMaxRequestSize()));
         const auto state = std::make_shared<ConnectionState>();
         state->number = ++lastConnection();
-        ++this->gate->connections;
+        ++this->endpointState->connections;
         peer->putData(ConnectionStateName, state);
     }
 
@@ -323,15 +329,16 @@
         const std::shared_ptr<ConnectionState> state = stateOf(peer);
         {
             const std::lock_guard<std::mutex> lock(state->mutex);
-            state->isGone = true;
+            state->isDisconnected = true;
         }
-        // While the socket is still open, its number is no other caller's.
+        // Handles queued answers while the socket is still open: until it is closed, its number
+        // cannot be reused for another caller.
         this->transport()->flush();
-        --this->gate->connections;
+        --this->endpointState->connections;
         this->disconnected(state->number);
     }
 
-    /// Shared by the copies of the handler that the library makes, one a thread.
+    /// Shared by the copies of the handler that the library makes, one for each thread.
     static std::atomic<std::uint64_t> &lastConnection()
     {
         static std::atomic<std::uint64_t> last = 0;
@@ -349,11 +356,11 @@
                 this->refuse(peer, Schema::Reason::BodyTooLarge, bodyTooLarge(this->bodyLimit));
                 return;
             }
-            const bool isWhole = parser.parse() == Http::Private::State::Done;
+            const bool isComplete = parser.parse() == Http::Private::State::Done;
             const bool isBodyNext = parser.step()->id() == Http::Private::BodyStep::Id;
             if (isBodyNext && this->isTooLong(parser.request)) {
                 this->refuse(peer, Schema::Reason::BodyTooLarge, bodyTooLarge(this->bodyLimit));
-            } else if (isWhole) {
+            } else if (isComplete) {
                 this->onRequest(parser.request, this->writerFor(peer));
                 stateOf(peer)->isContinued = false;
                 parser.reset();
@@ -361,7 +368,7 @@
                 sendContinue(peer, parser.request);
             }
         } catch (const std::bad_alloc &) {
-            // The library reserves whatever length a request announces.
+            // The library reserves memory for whatever length a request announces.
             this->refuse(peer, Schema::Reason::BodyTooLarge, bodyTooLarge(this->bodyLimit));
         } catch (const std::length_error &) {
             this->refuse(peer, Schema::Reason::BodyTooLarge, bodyTooLarge(this->bodyLimit));
@@ -387,7 +394,8 @@
                || request.body().size() > this->bodyLimit;
     }
 
-    /// Answers and closes: what else arrives belongs to the refused request.
+    /// Answers and closes the connection. Further input belongs to the refused request and is not
+    /// parsed.
     void refuse(const Peer &peer, Schema::Reason reason, const HttpResponse &response)
     {
         this->refused(reason);
@@ -401,8 +409,8 @@
                       [closeForWriting](const std::exception_ptr &) { closeForWriting(); });
     }
 
-    /// Some callers, curl's command line among them, ask before a long body and wait a second for
-    /// the answer.
+    /// Some callers, such as curl's command line, send an Expect header before a long body and wait
+    /// a second for the interim answer.
     static void sendContinue(const Peer &peer, const Http::Request &request)
     {
         const std::shared_ptr<ConnectionState> state = stateOf(peer);
@@ -415,10 +423,10 @@
     }
 
     HttpHandler handler;
-    HttpRefused refused;
-    HttpDisconnected disconnected;
+    HttpRefusalListener refused;
+    HttpDisconnectionListener disconnected;
     std::size_t bodyLimit;
-    std::shared_ptr<Gate> gate;
+    std::shared_ptr<EndpointState> endpointState;
 };
 
 } // namespace
@@ -430,7 +438,7 @@
     {}
 
     Http::Endpoint endpoint;
-    std::shared_ptr<Gate> gate = std::make_shared<Gate>();
+    std::shared_ptr<EndpointState> endpointState = std::make_shared<EndpointState>();
     std::atomic<bool> isStopped = false;
 };
 
@@ -450,13 +458,13 @@
 
 int HttpServer::openConnections() const
 {
-    return this->implementation->gate->connections;
+    return this->implementation->endpointState->connections;
 }
 
 int HttpServer::unwrittenAnswers() const
 {
-    const std::lock_guard<std::mutex> lock(this->implementation->gate->unwrittenMutex);
-    return this->implementation->gate->unwritten;
+    const std::lock_guard<std::mutex> lock(this->implementation->endpointState->unwrittenMutex);
+    return this->implementation->endpointState->unwritten;
 }
 
 void HttpServer::stop()
@@ -464,11 +472,11 @@
     if (this->implementation->isStopped.exchange(true)) {
         return;
     }
-    const std::shared_ptr<Gate> &gate = this->implementation->gate;
-    gate->waitUntilWritten();
+    const std::shared_ptr<EndpointState> &endpointState = this->implementation->endpointState;
+    endpointState->waitUntilWritten();
     {
-        const std::lock_guard<std::shared_mutex> lock(gate->mutex);
-        gate->isOpen = false;
+        const std::lock_guard<std::shared_mutex> lock(endpointState->mutex);
+        endpointState->isOpen = false;
     }
     this->implementation->endpoint.shutdown();
 }
@@ -498,13 +506,13 @@
     return *this;
 }
 
-HttpServerBuilder &HttpServerBuilder::refused(HttpRefused refused)
+HttpServerBuilder &HttpServerBuilder::refused(HttpRefusalListener refused)
 {
     this->refusalListener = std::move(refused);
     return *this;
 }
 
-HttpServerBuilder &HttpServerBuilder::disconnected(HttpDisconnected disconnected)
+HttpServerBuilder &HttpServerBuilder::disconnected(HttpDisconnectionListener disconnected)
 {
     this->disconnectionListener = std::move(disconnected);
     return *this;
@@ -525,7 +533,7 @@
                     .keepaliveTimeout(IdleTimeout));
     implementation->endpoint.setHandler(std::make_shared<RequestHandler>(
             this->requestHandler, this->refusalListener, this->disconnectionListener,
-            this->bodyLimit, implementation->gate));
+            this->bodyLimit, implementation->endpointState));
     implementation->endpoint.serveThreaded();
     return std::unique_ptr<HttpServer>(new HttpServer(std::move(implementation)));
 }
--- a/Source/Core/Net/PeerHub.cpp
+++ b/Source/Core/Net/PeerHub.cpp
@@ -25,13 +25,13 @@
 using ServerEndpoint = websocketpp::server<websocketpp::config::asio>;
 using ClientEndpoint = websocketpp::client<websocketpp::config::asio_client>;
 
-/// A link that has more than this unsent takes no more: its peer is silent or too slow, and its
-/// frames would fill the memory that all links share.
+/// A link with more unsent bytes than this accepts no frames: its peer is silent or too slow, and
+/// its frames would fill the memory that all links share.
 constexpr std::size_t MaxUnsentBytes = std::size_t{16} << 20U;
 
 constexpr std::size_t MaskBytes = 4;
 
-/// Bytes that WebSocket puts before a payload of \a size.
+/// Size of the WebSocket header before a payload of \a size bytes.
 std::size_t headerBytes(std::size_t size, bool isMasked)
 {
     constexpr std::size_t ShortPayload = 125;
@@ -45,15 +45,16 @@
     return length + (isMasked ? MaskBytes : 0);
 }
 
-/// One connection, whichever end made it. Its functions run on the hub's thread.
+/// One connection, accepted or outgoing. Its functions run on the hub's thread.
 struct Link
 {
     std::function<bool(const std::string &)> write;
     std::function<std::size_t()> unsent;
-    std::function<void()> drop;
+    std::function<void()> disconnect;
     bool isOpen = false;
-    bool isMadeHere = false;
-    /// Handed to the hub's thread and not yet on the wire; read by every sender.
+    bool isOutgoing = false;
+    /// Bytes that were passed to the hub's thread and are not yet written to the connection. Every
+    /// sender reads this and bufferedBytes.
     std::shared_ptr<std::atomic<std::size_t>> queuedBytes =
             std::make_shared<std::atomic<std::size_t>>(0);
     std::shared_ptr<std::atomic<std::size_t>> bufferedBytes =
@@ -89,13 +90,13 @@
         endpoint.set_max_message_size(MaxFrameBytes);
     }
 
-    /// Ties a connection's events to its link.
+    /// Adds the link \a id and connects the events of \a connection to it.
     template <typename Connection>
-    void bind(LinkId id, const Connection &connection, bool isMadeHere)
+    void bind(LinkId id, const Connection &connection, bool isOutgoing)
     {
         using Message = typename Connection::element_type::message_ptr;
         Link link;
-        link.isMadeHere = isMadeHere;
+        link.isOutgoing = isOutgoing;
         const std::weak_ptr<typename Connection::element_type> weak = connection;
         link.write = [weak](const std::string &bytes) {
             const auto target = weak.lock();
@@ -105,7 +106,7 @@
             const auto target = weak.lock();
             return target ? target->get_buffered_amount() : 0;
         };
-        link.drop = [weak] {
+        link.disconnect = [weak] {
             const auto target = weak.lock();
             if (target) {
                 target->terminate(websocketpp::lib::error_code());
@@ -115,7 +116,9 @@
                 [this, id](const websocketpp::connection_hdl &, const Message &message) {
                     this->received(id, message->get_payload());
                 });
-        const auto ended = [this, id](const websocketpp::connection_hdl &) { this->forget(id); };
+        const auto ended = [this, id](const websocketpp::connection_hdl &) {
+            this->removeLink(id);
+        };
         connection->set_close_handler(ended);
         connection->set_fail_handler(ended);
         const std::lock_guard<std::mutex> lock(this->mutex);
@@ -155,7 +158,7 @@
             return;
         }
         this->bind(id, connection, true);
-        // No cycle: the connection clears its handlers when it ends.
+        // The handler does not own the connection, so that there is no reference cycle.
         connection->set_open_handler([this, id](const websocketpp::connection_hdl &handle) {
             this->opened(id, this->client.get_con_from_hdl(handle));
         });
@@ -186,7 +189,7 @@
                 return;
             }
             this->bytesReceived +=
-                    bytes.size() + headerBytes(bytes.size(), !found->second.isMadeHere);
+                    bytes.size() + headerBytes(bytes.size(), !found->second.isOutgoing);
         }
         std::optional<Schema::Frame> frame = this->decode(id, bytes);
         if (frame) {
@@ -211,7 +214,7 @@
                 });
     }
 
-    /// Called from any thread; the write itself happens on the hub's.
+    /// Called from any thread; the write itself happens on the hub's thread.
     bool send(LinkId id, const Schema::Frame &frame)
     {
         std::shared_ptr<std::atomic<std::size_t>> queued;
@@ -239,7 +242,7 @@
     void write(LinkId id, const std::string &bytes)
     {
         std::function<bool(const std::string &)> writeBytes;
-        bool isMadeHere = false;
+        bool isOutgoing = false;
         {
             const std::lock_guard<std::mutex> lock(this->mutex);
             const auto found = this->links.find(id);
@@ -247,11 +250,11 @@
                 return;
             }
             writeBytes = found->second.write;
-            isMadeHere = found->second.isMadeHere;
+            isOutgoing = found->second.isOutgoing;
         }
         if (writeBytes(bytes)) {
             ++this->framesSent;
-            this->bytesSent += bytes.size() + headerBytes(bytes.size(), isMadeHere);
+            this->bytesSent += bytes.size() + headerBytes(bytes.size(), isOutgoing);
         }
         this->updateBuffered(id);
     }
@@ -265,8 +268,9 @@
         }
     }
 
-    /// Ends a link of which the connection is already gone, or was dropped.
-    bool forget(LinkId id)
+    /// Removes a link whose connection has ended or is about to be closed, and reports it as
+    /// closed. False if the link was removed before.
+    bool removeLink(LinkId id)
     {
         {
             const std::lock_guard<std::mutex> lock(this->mutex);
@@ -280,17 +284,17 @@
 
     void close(LinkId id)
     {
-        std::function<void()> drop;
+        std::function<void()> disconnect;
         {
             const std::lock_guard<std::mutex> lock(this->mutex);
             const auto found = this->links.find(id);
             if (found == this->links.end()) {
                 return;
             }
-            drop = found->second.drop;
+            disconnect = found->second.disconnect;
         }
-        this->forget(id);
-        drop();
+        this->removeLink(id);
+        disconnect();
     }
 
     std::uint16_t listen(const std::string &host, std::uint16_t port)
@@ -321,13 +325,13 @@
             if (this->server.is_listening()) {
                 this->server.stop_listening(ignored);
             }
-            this->dropAll();
+            this->disconnectAll();
             this->context.stop();
         });
         this->thread.join();
     }
 
-    void dropAll()
+    void disconnectAll()
     {
         std::map<LinkId, Link> ending;
         {
@@ -335,12 +339,12 @@
             ending.swap(this->links);
         }
         for (const auto &entry : ending) {
-            entry.second.drop();
+            entry.second.disconnect();
         }
     }
 
     PeerHubEvents events;
-    /// Outlives the endpoints: their connections hold on to it.
+    /// Outlives the endpoints, because their connections refer to it.
     boost::asio::io_context context;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work =
             boost::asio::make_work_guard(this->context);
