--- a/Source/Core/Runner/Runner.cpp
+++ b/Source/Core/Runner/Runner.cpp
@@ -15,10 +15,10 @@
 using Schema::AttemptPhase;
 using Schema::Reason;
 
-/// Orders that went unanswered have been carried out up to 12 s later: numbers are remembered for
+/// Unanswered orders have been carried out up to 12 s later, so used run numbers are kept for
 /// longer than that.
 constexpr std::int64_t UsedNumberRetentionMs = 30'000;
-/// A link that was lost is back, or its gateway counts as lost, well before.
+/// Longer than it takes until a lost connection is restored or its gateway counts as lost.
 constexpr std::int64_t RecentEndRetentionMs = 3000;
 constexpr std::int64_t PruneIntervalMs = 5000;
 
@@ -65,8 +65,9 @@
 
 bool isLate(const RunnerState &state, const Transient::BackendAnnouncement &announcement)
 {
-    // Of a former life, or of one that was over before this process began. Where the present life
-    // does not answer, any other may have its place: the time of day that lives begin at can jump.
+    // Announcements of a previous incarnation, or of one that was over before this process started,
+    // are late. While the current incarnation does not answer, any other one may have replaced it:
+    // start times are wall-clock times, which can jump.
     const bool isOlder = state.backend && state.backend->startedAtMs != 0
                          && announcement.startedAtMs < state.backend->startedAtMs;
     const bool isPrevious =
@@ -157,7 +158,7 @@
     effects.emplace_back(Transient::Note{"backend_left", {{"id", id}}});
     state.backend->leaving = true;
     returnQueuedTasks(state, effects, Reason::AgentDraining, now);
-    // What runs there may last some moments yet: it is given up when its lease is over.
+    // Started runs may continue for a moment; they count as over once their lease has expired.
     effects.emplace_back(Announce{});
     return effects;
 }
@@ -202,7 +203,7 @@
                            && run.gateway == gateway;
                 });
         if (found == state.runs.end()) {
-            // Its end is on the way to the gateway, or was lost with a link.
+            // The report of its end is on the way to the gateway, or was lost with a connection.
             returnTask(effects, gateway, attempt, AttemptPhase::Stopped, Reason::Withdrawn);
             continue;
         }
--- a/Source/Core/Runner/Runner.h
+++ b/Source/Core/Runner/Runner.h
@@ -5,36 +5,40 @@
 #include "Runner/RunnerState.h"
 #include "Runner/Runs.h"
 
-/// Public header of the agent for transient jobs: its decisions as one state machine, and its
+/// Public header of the agent for transient jobs: its decisions as a single state machine, and its
 /// daemon.
 namespace Runner {
 
-/// What the backend server says of itself. A late one, by its sequence, changes nothing.
+/// Handles an announcement of the backend server. One that is late, by its incarnation or sequence,
+/// is logged and otherwise ignored.
 Effects backendAnnounced(RunnerState &state, const Transient::BackendAnnouncement &announcement,
                          Common::Moment now);
-/// It has left for good.
+/// Handles the backend server leaving for good: returns all queued tasks and accepts no new ones.
 Effects backendLeft(RunnerState &state, const std::string &id, Common::Moment now);
 
-/// The gateway has repeated the time of something that this agent told it.
+/// Extends the gateway's grant. \a echoMs is the send time of a message of this agent that the
+/// gateway has received; 0 means none.
 void grantReceived(RunnerState &state, const std::string &gateway, std::int64_t echoMs);
 
 Effects ordersReceived(RunnerState &state, const std::string &gateway,
                        const Schema::TaskOrders &orders, Common::Moment now);
 Effects withdrawReceived(RunnerState &state, const std::string &gateway,
                          const Schema::WithdrawTasks &withdraw, Common::Moment now);
-/// Not heard for too long, or another process in its place: nobody waits for what it ordered, and
-/// its callers will submit again.
+/// Stops everything that the gateway ordered, since its grant has expired, its connection was not
+/// restored, or another process is in its place. Nobody waits for these tasks any more, and their
+/// callers will submit them again.
 Effects gatewayLost(RunnerState &state, const std::string &gateway, Common::Moment now);
 
-/// Gives waiting tasks back and takes no new ones; what runs goes on.
+/// Returns waiting tasks to their gateways and accepts no new ones; started runs continue.
 Effects beginStop(RunnerState &state, Common::Moment now);
 bool isStopped(const RunnerState &state);
 
-/// Timers, starts, stops and observations that are due.
+/// Handles expired timers and makes the starts, stops and observations that are due.
 Effects tick(RunnerState &state, Common::Moment now);
 std::int64_t nextWakeMs(const RunnerState &state, Common::Moment now);
 
-/// Switches off what the settings name, so that an operator can see what each decision is worth.
+/// Switches off the decisions that the settings name, so that an operator can compare results with
+/// and without each of them.
 void switchOff(RunnerState &state, const std::vector<Schema::AgentDecision> &disabled);
 
 } // namespace Runner
--- a/Source/Core/Runner/RunnerState.h
+++ b/Source/Core/Runner/RunnerState.h
@@ -18,19 +18,20 @@
 #include "Transient/Resubmission.h"
 #include "Transient/Transient.h"
 
-/// An agent of transient jobs: the one arbiter of its backend server. It alone starts, stops and
-/// renews, knows the room to the millisecond and holds the queue before it, in which the tasks of
-/// all gateways stand by their urgency.
+/// State of an agent for transient jobs. The agent alone starts, stops and renews the runs of its
+/// backend server, so it knows the free resources to the millisecond. It holds the queue in which
+/// the tasks of all gateways wait for the backend server, ordered by urgency.
 namespace Runner {
 
 using RunId = std::uint64_t;
 
 enum class RunPhase {
     Queued,
-    /// The start was sent and not answered.
+    /// The start was sent and has not been answered yet.
     Starting,
     Running,
-    /// Not wanted any more, or its start was not answered: being stopped until proven over.
+    /// Not wanted any more, or its start was not answered. Being stopped until the run is known to
+    /// be over.
     Stopping
 };
 
@@ -50,45 +51,46 @@
     Schema::Resources resources;
     std::int64_t priority = 0;
     std::int64_t expectedMs = 0;
-    /// Steady clock.
+    /// These four are on the steady clock.
     std::int64_t targetMs = 0;
     std::int64_t deadlineMs = 0;
     std::int64_t orderedMs = 0;
     std::int64_t notBeforeMs = 0;
 
     RunPhase phase = RunPhase::Queued;
-    /// Of the run at the backend server.
+    /// Run number at the backend server.
     std::int64_t number = 0;
     std::int64_t startSentMs = 0;
     std::int64_t startFence = 0;
     bool isStartPending = false;
-    /// The backend server has answered the start, or shown the run. Until then the start may still
-    /// be on its way.
+    /// The backend server has answered the start, or listed the run in an observation. Until then
+    /// the start may still be in transit.
     bool isStartKnown = false;
     std::int64_t startedMs = 0;
-    /// When the answer to the start was taken in; 0 before.
+    /// When the answer to the start was received; 0 before.
     std::int64_t startAnsweredMs = 0;
     int startTries = 0;
     int percent = 0;
-    /// When an observation showed that; 0 before.
+    /// When an observation last reported the percentage; 0 before.
     std::int64_t progressSeenMs = 0;
-    /// Observations sent after its start that did not show it.
+    /// Consecutive observations without this run that were sent after its start was answered.
     int missedObservations = 0;
 
     Schema::Reason stopReason = Schema::Reason::None;
     std::int64_t stopRequestedMs = 0;
     int stopTries = 0;
     std::int64_t nextStopMs = 0;
-    /// When the backend server had taken the stop in; 0 before.
+    /// When the backend server's acceptance of the stop was received; 0 before.
     std::int64_t stopAcceptedMs = 0;
 };
 
-/// Call the backend server; each comes back through the function of its name.
+/// Calls to the backend server. The answers are passed to startAnswered(), stopAnswered() and
+/// observeAnswered().
 struct CallStart
 {
     RunId run = 0;
     Transient::RunStart start;
-    /// Given up without an answer by then.
+    /// Without an answer within this time, the start counts as unanswered.
     std::int64_t timeoutMs = 0;
 };
 
@@ -112,7 +114,7 @@
     Schema::AttemptState state;
 };
 
-/// Every gateway has to be told anew what this agent is.
+/// Sends a new announcement of this agent to every connected gateway.
 struct Announce
 {};
 
@@ -121,45 +123,49 @@
 using Effects = std::vector<Effect>;
 using Common::append;
 
-/// One observation that was asked for.
+/// An observation that was sent and has not returned yet.
 struct PendingObservation
 {
     std::int64_t sentMs = 0;
     std::int64_t waitMs = 0;
-    /// That it acknowledges.
+    /// Position of the last end that it acknowledges.
     std::int64_t lastEnd = 0;
     bool isOverdue = false;
-    /// It asks for a lease for all that runs.
+    /// It requests a lease for all runs.
     bool isRenewal = false;
     std::int64_t fence = 0;
 };
 
 struct RunnerTimes
 {
-    /// That each renewal grants.
+    /// Lease that each renewal requests.
     std::int64_t leaseMs = Transient::LeaseMs;
-    /// That the backend server grants at most, whatever it is asked for.
+    /// Longest lease that the backend server grants, whatever is requested.
     std::int64_t longestLeaseMs = 1000;
-    /// How long an observation waits for an end: a third of the lease, since it renews as well.
+    /// How long an observation waits for an end: less than a third of the usual lease, since it
+    /// also renews the lease.
     std::int64_t observeWaitMs = 200;
-    /// An observation that has not come back so long after its wait is followed by another one on
-    /// another connection: answers that were lost would otherwise hide every end meanwhile.
+    /// An observation that has not returned this long after its wait is followed by another one on
+    /// another connection; a lost answer would otherwise hide every end in the meantime.
     std::int64_t observeGraceMs = 40;
-    /// Between the first stops of a run, without a wait for their answers: where every second one
-    /// goes unanswered, one of them is taken long before a caller submits again.
+    /// Interval between the first stops of a run, which do not wait for each other's answers. Even
+    /// if every second one goes unanswered, one of them is accepted long before a caller submits
+    /// again.
     std::int64_t stopRetryMs = 40;
     int quickStops = 6;
-    /// Between later ones: a backend server that hangs must not have all connections taken.
+    /// Interval between later stops: those to a backend server that hangs must not occupy all
+    /// connections.
     std::int64_t laterStopRetryMs = 120;
-    /// What has to end and has no confirmed stop by then is renewed no more, and nothing else there
-    /// is: it would go on until its caller has submitted it again.
+    /// If a run that has to end has no confirmed stop by then, the lease of all runs is no longer
+    /// renewed: the run would otherwise continue until its caller has submitted it again.
     std::int64_t stopOverdueMs = 150;
-    /// A start without an answer has taken effect by then or never does: orders have been carried
-    /// out up to 12 s late; slack.
+    /// An unanswered start has taken effect by then or never will: orders have been carried out up
+    /// to 12 s late; the rest is slack.
     std::int64_t lateStartMs = 13'500;
-    /// How long a gateway's grant lasts.
+    /// How long a gateway's grant lasts; see RunnerState::grants.
     std::int64_t grantMs = Transient::GrantMs;
-    /// From then on a gateway's jobs are told to the others.
+    /// A gateway whose last echoed message is this old is suspect: from then on its jobs are
+    /// reported to the other gateways.
     std::int64_t suspectMs = Transient::suspectTimeMs(Transient::LeaseMs);
 };
 
@@ -169,6 +175,7 @@
     std::int64_t usedMs = 0;
 };
 
+/// A run that the backend server lists and that matches no started run here.
 struct Stray
 {
     std::int64_t firstSeenMs = 0;
@@ -181,10 +188,10 @@
     std::int64_t endedMs = 0;
 };
 
-/// Baselines: each of these can be switched off.
+/// Decisions that can be switched off one by one, for a baseline to compare with.
 struct RunnerDecisions
 {
-    /// By priority and latest start; otherwise in the order of arrival.
+    /// Orders the queue by priority and latest start; otherwise it is in order of arrival.
     bool ordersByUrgency = true;
     bool movesFromSlow = true;
     bool learnsStartTimeout = true;
@@ -200,61 +207,70 @@
     std::string service;
     RunnerTimes times;
 
-    /// What the backend server said of itself last.
+    /// Last announcement of the backend server, updated when it leaves or an observation shows a
+    /// new incarnation.
     std::optional<Transient::BackendAnnouncement> backend;
-    /// Lives that others have followed, by id and start: their announcements may arrive late.
+    /// Incarnations that others have replaced, by id and start time: their announcements may arrive
+    /// late.
     std::set<std::pair<std::string, std::int64_t>> previousIncarnations;
-    /// Its clock minus ours, as the last answer showed.
+    /// The backend server's clock minus the steady clock of this process, at the last answer.
     std::optional<std::int64_t> clockOffsetMs;
     std::int64_t fence = 0;
-    /// What ran when this process started is over.
+    /// Nothing runs any more from before the start of this process or of the backend server's
+    /// incarnation.
     bool isClean = false;
     bool isStopping = false;
-    /// The backend server answers.
+    /// False while the backend server counts as lost.
     bool isBackendResponsive = true;
-    /// When the first observation was sent that has not been answered since; 0 while none failed.
-    /// An agent without runs asks nothing: the time since the last answer says nothing of silence.
+    /// Send time of the first failed observation since the last answer; 0 while none has failed or
+    /// none is needed.
+    /// The time since the last answer cannot be used instead, because an agent without runs sends
+    /// no observations.
     std::int64_t silentSinceMs = 0;
-    /// When the last call was sent that may have granted a lease, of those that have come back.
+    /// Send time of the last call that may have granted a lease, among those that are no longer
+    /// pending. Set into the future when a new incarnation may hold a longer lease than requested.
     std::int64_t leaseGrantSentMs = 0;
 
     RunId lastRun = 0;
     std::map<RunId, Run> runs;
     /// Runs in the order they should start.
     std::vector<RunId> queue;
-    /// The lowest that any order had: its tasks go before all others.
+    /// Lowest priority value of any order so far: tasks with it go before all others.
     std::int64_t urgentPriority = std::numeric_limits<std::int64_t>::max();
-    /// Highest run number used of each task: a task may come back, also through another gateway.
+    /// Highest run number used for each task: a task may be ordered again, also by another
+    /// gateway.
     std::unordered_map<std::string, UsedNumber> usedNumbers;
 
     std::uint64_t lastObservation = 0;
     std::map<std::uint64_t, PendingObservation> pendingObservations;
     std::int64_t lastEnd = 0;
     std::int64_t acknowledgedEnd = 0;
-    /// Observations are made more often for a while after one was lost.
+    /// Until then observations are made more often, since an answer was lost or overdue.
     std::int64_t lossyUntilMs = 0;
     std::int64_t nextObserveMs = 0;
-    /// By task and number: runs that the backend server shows and nobody here wants.
+    /// By task and run number.
     std::map<std::pair<std::string, std::int64_t>, Stray> strays;
     std::int64_t prunedNumbersMs = 0;
-    /// Logarithm of the time that runs take here over the expected one, as progress showed it last.
+    /// Logarithm of the ratio of actual to expected run times, at the last progress that showed
+    /// it.
     double logSlowdown = 0;
     std::int64_t slowdownUpdatedMs = 0;
 
-    /// By the gateway's instance: until when this agent may act for it. A gateway repeats the time
-    /// at which the agent wrote what it heard last; from that time on the grant counts. So an agent
-    /// that was frozen, and finds old orders in its sockets, starts none of them.
+    /// By the gateway's instance: until when this agent may act for it. A gateway echoes the send
+    /// time of the last message that it received from the agent, and the grant counts from that
+    /// time. An agent that was frozen therefore starts none of the old orders that it finds in its
+    /// sockets.
     std::map<std::string, std::int64_t> grants;
     /// Jobs that other gateways must not start.
     Schema::OrphanedJobs orphans;
-    /// Rises with each change of them.
+    /// Incremented with each change of the orphaned jobs.
     std::uint64_t orphansChange = 0;
-    /// The last change that the gateways have to hear of at once.
+    /// The last change that must be reported to the gateways at once.
     std::uint64_t urgentOrphansChange = 0;
-    /// By the gateway's instance: sequence of the last order that came.
+    /// By the gateway's instance: sequence of the last orders received.
     std::map<std::string, std::int64_t> lastOrders;
-    /// By the gateway's instance: ends that it was told of lately. They are told again on a new
-    /// link, since the frame may have been lost with the old one.
+    /// By the gateway's instance: ends of its runs in the recent past. They are reported again on a
+    /// new connection, since the frame may have been lost with the old one.
     std::map<std::string, std::deque<RecentEnd>> recentEnds;
 };
 
--- a/Source/Core/Runner/Runs.cpp
+++ b/Source/Core/Runner/Runs.cpp
@@ -14,11 +14,12 @@
 using Transient::StartOutcome;
 
 constexpr const char *StartCounter = "auburntrail_runner_starts_total";
-/// Tries at finding a run number that the backend server takes: each skips twice as many, so that
-/// these pass any number that a day of resubmissions can have used.
+/// Starts of a run before it is given up. Where the backend server rejects the run number, each try
+/// skips twice as many numbers as the one before, so that these tries get past any number that a
+/// day of resubmissions can have used.
 constexpr int MaxStartTries = 10;
-/// The backend server's room is not what it seems here, or a stop is still under way: 50 ms is the
-/// longest that one takes.
+/// Pause after a start for which the backend server had no room. Either its free resources differ
+/// from what is known here, or a stop is still in progress, which takes 50 ms at most.
 constexpr std::int64_t NoRoomRetryMs = 50;
 
 Transient::Note runLogLine(const char *event, const Run &run, Common::Moment now,
@@ -80,7 +81,7 @@
     known.usedMs = now.steadyMs;
 }
 
-/// Whether a start that ended so may have renewed the lease of everything there.
+/// Whether a start with this outcome may have renewed the lease of all runs at the backend server.
 bool mayHaveRenewedLease(StartOutcome outcome)
 {
     switch (outcome) {
@@ -111,7 +112,8 @@
                         {"answer_ms", std::to_string(now.steadyMs - run.startSentMs)}}));
 }
 
-/// The backend server has said that it did nothing.
+/// Handles a start that has certainly not started the run: queues it again if the outcome allows
+/// that and tries are left, and finishes it as not started otherwise.
 void handleStartRejected(RunnerState &state, Effects &effects, RunId id, StartOutcome outcome,
                          Common::Moment now)
 {
@@ -191,7 +193,8 @@
 {
     const Run run = state.runs.at(id);
     if (run.isStartPending) {
-        // Its answer will find nothing here to judge by.
+        // The answer to the start will be ignored, since the run is removed here. Its possible
+        // effects are therefore accounted for now.
         state.leaseGrantSentMs = std::max(state.leaseGrantSentMs, run.startSentMs);
         raiseUnansweredFence(state, run.startFence);
     }
@@ -221,7 +224,8 @@
     for (const RunId id : startable(state, now)) {
         const Run &run = state.runs.at(id);
         if (!hasRoom(state, run.resources)) {
-            // Nothing overtakes: a wide task would otherwise wait for as long as narrow ones come.
+            // No run overtakes another: a task with large requirements would otherwise wait for as
+            // long as smaller ones arrive.
             break;
         }
         dequeue(state, id);
@@ -237,7 +241,8 @@
     const auto found = state.runs.find(id);
     if (found == state.runs.end() || found->second.number != number
         || !found->second.isStartPending) {
-        // It may have gone to a former life, whose clock was another.
+        // Its clock is ignored, too: the start may have gone to a previous incarnation, which had
+        // another clock.
         return effects;
     }
     if (answer.clockMs) {
@@ -306,7 +311,7 @@
         }
         if (accepted && run.stopAcceptedMs == 0) {
             run.stopAcceptedMs = now.steadyMs;
-            // The next observation proves whether anything of it is left.
+            // The next observation shows whether the run is over.
             state.nextObserveMs = now.steadyMs;
         }
     }
--- a/Source/Core/Runner/Runs.h
+++ b/Source/Core/Runner/Runs.h
@@ -2,27 +2,30 @@
 
 #include "Runner/RunnerState.h"
 
-/// The life of one run at the backend server.
+/// Starts, stops and finishes the runs at the backend server.
 namespace Runner {
 
-/// A fence that was too low, since the time of day was set back, is raised by an hour: more than
-/// clocks are ever wrong by.
+/// A rejected fence is too low because the wall clock was set back. It is raised by an hour, which
+/// is more than clocks are ever wrong by.
 constexpr std::int64_t FenceStepMs = 3'600'000;
 
-/// Raises the fence once a call with \a usedFence went unanswered. It may be carried out seconds
-/// later and prolong leases that count as over; once a call with the higher fence is answered, it
-/// does nothing any more.
+/// Raises the fence after a call with \a usedFence went unanswered. That call may be carried out
+/// seconds later and extend leases that count as expired; once a call with the higher fence has
+/// been answered, it no longer has any effect. Does nothing if the fence was raised in the
+/// meantime.
 void raiseUnansweredFence(RunnerState &state, std::int64_t usedFence);
-/// A call with \a usedFence was turned down: another process has raised the fence above this one's.
-/// Where it was raised here since, the next call has it already.
+/// Raises the fence by FenceStepMs after a call with \a usedFence was rejected because another
+/// process had raised the backend server's fence above it. Does nothing if the fence was raised in
+/// the meantime, since the next call already carries the higher one.
 void raiseRejectedFence(RunnerState &state, std::int64_t usedFence);
 
-/// Whether something goes on that had to end. A lease is for all that runs, and every start and
-/// renewal prolongs it, so none is made and all of it is left to lapse: what was stopped for a lost
-/// gateway or a caller that left runs again elsewhere soon.
+/// Whether a run or stray run that has to end still has no confirmed stop after
+/// RunnerTimes::stopOverdueMs. A lease covers all runs, and every start and renewal extends it. In
+/// this case no start or renewal is made and all leases are left to expire, because a run that was
+/// stopped for a lost gateway or a disconnected caller is soon started again elsewhere.
 bool hasOverdueStop(const RunnerState &state, Common::Moment now);
 
-/// Starts what has room now.
+/// Starts queued runs, in order, as far as there is room for them.
 Effects startRuns(RunnerState &state, Common::Moment now);
 
 Effects startAnswered(RunnerState &state, RunId id, std::int64_t number,
@@ -30,23 +33,25 @@
 void stopAnswered(RunnerState &state, const std::string &task, std::int64_t number, bool accepted,
                   Common::Moment now);
 
-/// Ends the run for good and tells its gateway.
+/// Removes the run and reports its end to its gateway.
 void finishRun(RunnerState &state, Effects &effects, RunId id, Schema::AttemptPhase phase,
                Schema::Reason reason, Common::Moment now);
 
-/// The run is not wanted any more, or has to be settled.
+/// Finishes a queued run at once; begins to stop a started one. Called for a run that is not wanted
+/// any more, or whose state at the backend server is unknown.
 void stopRun(RunnerState &state, Effects &effects, RunId id, Schema::Reason reason,
              Common::Moment now);
 
-/// Stops that are due, and runs past their deadline.
+/// Begins to stop runs past their deadline, and sends the stops that are due.
 Effects sendDueStops(RunnerState &state, Common::Moment now);
 
-/// Nothing that was started before is running any more. A start whose answer never came may take
-/// effect yet; where its task was given up at once, it ran twice at a time. It is stopped instead,
-/// which the backend server confirms, or waited out.
+/// Finishes all started runs, since none of them is running any more. The exception is a start that
+/// was never answered: it may still take effect, and finishing its run at once made the task run
+/// twice at the same time. Such a run is stopped instead, until the backend server confirms the
+/// stop or the start can no longer take effect.
 void endLostRuns(RunnerState &state, Effects &effects, Schema::Reason reason, Common::Moment now);
 
-/// On the backend server's clock; 0 while that is not known.
+/// End of a lease that is granted now, on the backend server's clock; 0 while that is not known.
 std::int64_t leaseUntilMs(const RunnerState &state, Common::Moment now);
 void updateClockOffset(RunnerState &state, std::int64_t clockMs, Common::Moment now);
 
