--- a/Source/Core/Runner/Observation.cpp
+++ b/Source/Core/Runner/Observation.cpp
@@ -14,16 +14,18 @@
 using Transient::ObserveOutcome;
 using Transient::RunEnd;
 
-/// Calls at a time: two that hang and one that works.
+/// Concurrent calls: two may hang while a third one works.
 constexpr std::size_t MaxPendingObservations = 3;
-/// After a lost answer: one more in twenty is likely lost, too, and each hides ends for as long.
+/// Period of shorter waits after a lost or overdue answer: one more in twenty is likely to be lost,
+/// too, and each hides the ends of runs for as long as it waits.
 constexpr std::int64_t LossyPeriodMs = 3000;
 constexpr std::int64_t LossyObserveWaitMs = 60;
-/// Runs missing from so many observations in a row that were asked for after they had started are
-/// gone.
+/// A run counts as lost when it is missing from this many consecutive observations that were sent
+/// after its start was answered.
 constexpr int MissedUntilLost = 2;
 constexpr std::int64_t StrayRetryMs = 150;
-/// Between observations that failed at once.
+/// Pause after an observation that failed without a timeout. Successive observations that do not
+/// wait for an end are half of it apart.
 constexpr std::int64_t FailedPauseMs = 50;
 
 bool isObservationNeeded(const RunnerState &state)
@@ -112,7 +114,7 @@
         run->progressSeenMs = now.steadyMs;
         run->isStartKnown = true;
     }
-    // What is not shown any more has ended.
+    // Stray runs that are no longer listed have ended.
     for (auto entry = state.strays.begin(); entry != state.strays.end();) {
         entry = isObserved(seen, entry->first.first, entry->first.second)
                         ? std::next(entry)
@@ -120,8 +122,8 @@
     }
 }
 
-/// Runs that the backend server does not show any more, though it was asked after they had started
-/// or after it had taken their stop in.
+/// Finishes the runs that the backend server no longer lists, although the observation was sent
+/// after their start was answered or after their stop was accepted.
 void finishMissingRuns(RunnerState &state, Effects &effects, const Transient::Observation &seen,
                        std::int64_t sentMs, Common::Moment now)
 {
@@ -133,7 +135,8 @@
         }
         const bool isStopped = run.phase == RunPhase::Stopping && run.stopAcceptedMs != 0
                                && sentMs > run.stopAcceptedMs;
-        // Calls overtake each other: only what was asked after the answer came surely saw the run.
+        // Calls can overtake each other: only an observation that was sent after the answer to the
+        // start is certain to include the run.
         const bool isMissing = run.phase == RunPhase::Running && sentMs >= run.startAnsweredMs
                                && ++run.missedObservations >= MissedUntilLost;
         if (isStopped || isMissing) {
@@ -148,7 +151,7 @@
     }
 }
 
-/// Another life shows itself in an observation before it has announced itself.
+/// Handles an observation from an incarnation that has not announced itself yet.
 void detectIncarnation(RunnerState &state, Effects &effects, std::int64_t startedAtMs,
                        Common::Moment now)
 {
@@ -157,8 +160,8 @@
     const Transient::BackendAnnouncement before = *state.backend;
     state.previousIncarnations.erase({before.id, startedAtMs});
     state.backend->startedAtMs = startedAtMs;
-    // Its own announcements count from the beginning: compared with those of the former life, they
-    // would all seem late.
+    // Its announcements are numbered from the beginning. Compared with the sequence of the previous
+    // incarnation, they would all seem late.
     constexpr std::int64_t NoneYet = -1;
     state.backend->sequence = NoneYet;
     beginIncarnation(state, effects, before, now);
@@ -175,8 +178,9 @@
     effects.emplace_back(Announce{});
 }
 
-/// Whether anything there is to go on. What a former process left is not: renewed while its stops
-/// went unanswered, it ran on beside its successor at another agent.
+/// Whether any run at the backend server should continue. Runs that a previous process left behind
+/// should not: when they were renewed while their stops went unanswered, they continued beside
+/// their replacements at another agent.
 bool hasWantedRun(const RunnerState &state)
 {
     return std::any_of(state.runs.begin(), state.runs.end(), [](const auto &entry) {
@@ -185,8 +189,8 @@
     });
 }
 
-/// The observation was carried out, or may have been: that a refused one has done nothing is known
-/// of starts only.
+/// Records that the observation has renewed the lease, or may have, if it requested that. This
+/// includes refused observations: only a refused start is known to have had no effect.
 void recordRenewal(RunnerState &state, const PendingObservation &observation)
 {
     if (observation.isRenewal) {
@@ -225,18 +229,17 @@
     }
 }
 
-/// A lease that was granted ends by then. The clock of the backend server may be slow by a
-/// fiftieth: twice that is safe.
+/// Time after which a granted lease has expired. The clock of the backend server may be slow by a
+/// fiftieth; the margin is twice that.
 std::int64_t lapseMs(const RunnerState &state)
 {
     constexpr std::int64_t ClockShare = 25;
     return state.times.leaseMs + state.times.leaseMs / ClockShare;
 }
 
-/// When the last call was sent that may have granted a lease, which holds for all that runs. Where
-/// the end of leases was reckoned from the last answer instead, runs were given up that went on
-/// under a start on its way or a renewal whose answer was lost, and their tasks ran twice at a
-/// time.
+/// Send time of the last call that may have granted a lease; a lease covers all runs. When the end
+/// of leases was counted from the last answer instead, runs were given up that continued under a
+/// start in transit or a renewal whose answer was lost, and their tasks ran twice at the same time.
 std::int64_t latestLeaseGrantMs(const RunnerState &state)
 {
     std::int64_t lastMs = state.leaseGrantSentMs;
@@ -315,24 +318,25 @@
     for (const auto &[id, observation] : state.pendingObservations) {
         recordRenewal(state, observation);
     }
-    // What was asked of the former life must not be taken for an answer of this one.
+    // Answers of the previous incarnation must not be taken for answers of this one.
     state.pendingObservations.clear();
     state.strays.clear();
     state.silentSinceMs = 0;
     state.lastEnd = 0;
     state.acknowledgedEnd = 0;
     state.isClean = false;
-    // The new life has seen no fence; orders to the former one that arrive late are below this one.
+    // The new incarnation has seen no fence yet. Late orders that were meant for the previous one
+    // have a lower fence than this.
     ++state.fence;
-    // A start may have reached this life before it was met, with a lease by the former life's
-    // clock.
+    // A start may have reached the new incarnation before it was detected, with a lease by the
+    // clock of the previous one, so the longest possible lease is assumed.
     state.leaseGrantSentMs =
             std::max(state.leaseGrantSentMs,
                      now.steadyMs + state.times.longestLeaseMs - state.times.leaseMs);
     std::vector<RunId> unanswered;
     for (auto &[id, run] : state.runs) {
         if (run.phase == RunPhase::Running) {
-            // Over, unless this life has it: the next observation tells.
+            // The run is over unless the next observation lists it.
             run.startAnsweredMs = now.steadyMs + 1;
             run.missedObservations = MissedUntilLost - 1;
         } else if (run.phase != RunPhase::Queued) {
@@ -342,7 +346,7 @@
     for (const RunId id : unanswered) {
         stopRun(state, effects, id, Reason::BackendLost, now);
         Run &run = state.runs.at(id);
-        // The former life may have taken the stop, this one has not.
+        // The previous incarnation may have accepted the stop, this one has not.
         run.isStartPending = false;
         run.stopAcceptedMs = 0;
         run.stopTries = 0;
@@ -368,7 +372,7 @@
     }
     const bool isNeeded = isObservationNeeded(state) || !state.isBackendResponsive;
     if (!isNeeded) {
-        // Without questions there is no silence.
+        // Without observations, the time since the last answer is meaningless.
         state.silentSinceMs = 0;
     }
     if (!isNeeded || pending > 0 || state.pendingObservations.size() >= MaxPendingObservations) {
@@ -377,8 +381,8 @@
     CallObserve call;
     call.observation = ++state.lastObservation;
     call.lastEnd = state.lastEnd;
-    // A backend server that carries calls out without answering would go on for ever with what this
-    // agent takes to have lapsed.
+    // No renewal after a long silence: a backend server that carries out calls without answering
+    // would continue forever with runs whose lease this agent counts as expired.
     const bool isSilent = isSilentFor(state, lapseMs(state), now);
     const bool isRenewal = !isSilent && hasWantedRun(state) && !hasOverdueStop(state, now);
     call.leaseUntilMs = isRenewal ? leaseUntilMs(state, now) : 0;
@@ -395,7 +399,7 @@
     state.pendingObservations[call.observation] = {
             now.steadyMs, call.waitMs, call.lastEnd, false, call.leaseUntilMs != 0, state.fence};
     if (call.waitMs == 0) {
-        // Without a wait each answer would be followed by the next call at once.
+        // The call returns at once; without a pause the next one would follow immediately.
         state.nextObserveMs = now.steadyMs + FailedPauseMs / 2;
     }
     effects.emplace_back(call);
--- a/Source/Core/Runner/Observation.h
+++ b/Source/Core/Runner/Observation.h
@@ -2,18 +2,19 @@
 
 #include "Runner/RunnerState.h"
 
-/// Sees what runs at the backend server, takes ends in and renews the lease, all in one call that
-/// waits for an end.
+/// Observes the runs at the backend server, processes the ends of runs and renews the lease, all in
+/// one call that waits for an end.
 ///
-/// Failure: an answer is lost, or comes seconds late, and no end is seen until the call is given
-/// up. Therefore another one follows soon after the first should have come back, on a connection of
-/// its own; ends are numbered, so that two answers with the same ends do no harm.
+/// Failure: an answer is lost or seconds late, and no end is seen until the call times out.
+/// Therefore another call on a separate connection follows soon after the first should have
+/// returned. Ends are numbered, so that two answers with the same ends do no harm.
 namespace Runner {
 
+/// Sends the next observation if one is needed and due.
 Effects observeIfDue(RunnerState &state, Common::Moment now);
 
-/// The backend server has begun another life, which knows nothing of what ran, was stopped or asked
-/// before.
+/// Handles a new incarnation of the backend server, which has no knowledge of earlier runs, stops
+/// and calls.
 void beginIncarnation(RunnerState &state, Effects &effects,
                       const Transient::BackendAnnouncement &before, Common::Moment now);
 
