--- a/Source/Core/Runner/Forecast.cpp
+++ b/Source/Core/Runner/Forecast.cpp
@@ -10,6 +10,7 @@
 
 namespace {
 
+/// Processors that become free when a run ends.
 struct Release
 {
     double atMs = 0;
@@ -18,7 +19,7 @@
     bool operator>(const Release &other) const { return this->atMs > other.atMs; }
 };
 
-/// The backend server from now on, as its runs end and others take their place.
+/// Simulates the backend server from now on, as runs end and others start in their place.
 struct Timeline
 {
     std::priority_queue<Release, std::vector<Release>, std::greater<>> releases;
--- a/Source/Core/Runner/Forecast.h
+++ b/Source/Core/Runner/Forecast.h
@@ -2,19 +2,19 @@
 
 #include "Runner/RunnerState.h"
 
-/// When one more task could start here.
+/// Forecasts when one more task could start here.
 ///
-/// Load pattern: tasks of 60, 200 and 900 ms stand side by side, and an urgent one passes all that
-/// waits. A mean time left says little of either: with it, urgent jobs are refused for work that
-/// would never stand before them. So the queue is played forward, in its own order, to the moment
-/// at which there is room again.
+/// Load pattern: tasks of 60, 200 and 900 ms run and wait together, and an urgent one overtakes all
+/// waiting ones. A forecast from the mean remaining time would refuse urgent jobs because of work
+/// that never delays them. The queue is therefore simulated in its own order, up to the moment when
+/// there is room again.
 namespace Runner {
 
 struct Forecast
 {
-    /// For a task of the most urgent priority.
+    /// Wait of a task with the most urgent priority.
     double urgentWaitMs = 0;
-    /// For a task behind all that waits.
+    /// Wait of a task behind all waiting ones.
     double waitMs = 0;
 };
 
--- a/Source/Core/Runner/Load.cpp
+++ b/Source/Core/Runner/Load.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Half of what the shortest tasks take.
+/// Half the run time of the shortest tasks.
 constexpr std::int64_t MinLoadReportIntervalMs = 25;
-/// Of a site that can bear that pause: its gateways used 0.03 of a core.
+/// Number of gateways for which the shortest interval is affordable: each used 0.03 of a core.
 constexpr std::size_t GatewaysOfSmallSite = 4;
 
 bool occupiesBackend(const Run &run)
@@ -39,7 +39,7 @@
     if (!state.backend) {
         return false;
     }
-    // Sums of fractions: a millionth of a processor is no more than rounding.
+    // Sums of fractions have rounding errors: a millionth of a processor is tolerated.
     constexpr double Rounding = 1e-6;
     Schema::Resources whole = state.backend->resources;
     whole.processors += Rounding;
--- a/Source/Core/Runner/Load.h
+++ b/Source/Core/Runner/Load.h
@@ -2,36 +2,37 @@
 
 #include "Runner/RunnerState.h"
 
-/// How full the backend server is.
+/// The load of the backend server and the contents of the reports about it.
 namespace Runner {
 
-/// What the runs that occupy the backend server hold of it: those being stopped count until they
-/// are proven over, those whose start was not answered too.
+/// Resources of the backend server that runs occupy. Runs that are being stopped, or whose start
+/// was not answered, count until they are known to be over.
 Schema::Resources occupied(const RunnerState &state);
 
 bool hasRoom(const RunnerState &state, const Schema::Resources &needed);
 
-/// Processors of all tasks that run or wait.
+/// Processors of all running and waiting tasks.
 double committedProcessors(const RunnerState &state);
 
 Schema::AgentLoad loadFor(const RunnerState &state, const std::string &gateway, Common::Moment now);
 
-/// Takes tasks from gateways at present.
+/// Whether this agent currently accepts tasks from gateways.
 bool isAccepting(const RunnerState &state);
 
 Schema::AgentAnnouncement announcementFor(const RunnerState &state, const std::string &gateway,
                                           Common::Moment now);
 
-/// Shortest time between two reports to a gateway that tell of nothing but the load.
+/// Shortest time between two reports to a gateway that contain only the load. It grows with the
+/// number of gateways from four on, so that the agent's cost does not.
 ///
-/// Load pattern: a backend server's load changes with each start and end, and every gateway wants
-/// to know it. Told by 76 agents every 25 ms, 12 gateways used 0.096 of a core in the mean; the
-/// weak ones, which have 0.12, were at their limit, and a fifth of the jobs of their failure domain
-/// ended late. What an agent spends on it is the same for any number of gateways.
+/// Load pattern: a backend server's load changes with each start and end, and every gateway needs
+/// it. With reports from 76 agents every 25 ms, each of 12 gateways used 0.096 of a core on
+/// average. The weak ones, which have 0.12 of a core, were at their limit, and a fifth of the jobs
+/// of their failure domain ended late.
 std::int64_t loadReportIntervalMs(std::size_t gateways);
 
-/// True where a gateway should hear of \a states at once. That a start was answered matters only if
-/// this agent is lost: it goes along with what is told anyway.
+/// Whether \a states must be reported to their gateway at once. An answered start is not urgent: it
+/// matters only if this agent is lost, so it is sent along with the next report.
 bool isUrgent(const std::vector<Schema::AttemptState> &states);
 
 } // namespace Runner
--- a/Source/Core/Runner/Orphans.cpp
+++ b/Source/Core/Runner/Orphans.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Most starts without an answer are settled by their first stop; the gateways need not hear of
-/// these.
+/// Most unanswered starts are resolved by their first stop within this time, and need not be
+/// reported to the gateways.
 constexpr std::int64_t UnansweredGraceMs = 50;
 
 std::int64_t suspectAtMs(const RunnerState &state, std::int64_t grantedUntilMs)
@@ -22,7 +22,7 @@
     return grant == state.grants.end() || now.steadyMs >= suspectAtMs(state, grant->second);
 }
 
-/// Its start may still be on the way to the backend server.
+/// Whether the start of the run may still be in transit to the backend server.
 bool mayStillStart(const Run &run)
 {
     return run.phase != RunPhase::Queued && !run.isStartKnown && run.stopAcceptedMs == 0;
--- a/Source/Core/Runner/Orphans.h
+++ b/Source/Core/Runner/Orphans.h
@@ -2,14 +2,14 @@
 
 #include "Runner/RunnerState.h"
 
-/// Which jobs have tasks here while their gateway may not live to settle them: their callers will
-/// submit them again at other gateways, which must not start them beside what is left here.
+/// Tracks the jobs that have tasks here while their gateway may be lost. Their callers will submit
+/// them again at other gateways, which must not start them while the tasks here still run.
 namespace Runner {
 
-/// Brings state.orphans up to date.
+/// Updates state.orphans, and logs when jobs were added.
 void updateOrphans(RunnerState &state, Effects &effects, Common::Moment now);
 
-/// When a gateway that has tasks here becomes suspect next.
+/// When the next gateway becomes suspect; the largest value if none does or no task is here.
 std::int64_t nextSuspectMs(const RunnerState &state, Common::Moment now);
 
 } // namespace Runner
--- a/Source/Core/Runner/Pace.cpp
+++ b/Source/Core/Runner/Pace.cpp
@@ -11,28 +11,30 @@
 
 using Schema::Reason;
 
-/// Until then even a run that stands still may only just have begun.
+/// Before this time, a run without progress may only just have begun.
 constexpr std::int64_t MinPaceSampleMs = 25;
-/// Part of the expected time after which progress in whole percents tells of the pace.
+/// Share of the expected run time after which progress in whole percents shows the pace.
 constexpr double MinPaceSampleShare = 0.1;
 constexpr std::int64_t MinTimeLeftMs = 5;
 constexpr double WholePercent = 100;
-/// Progress is cut to whole percents: the middle of the step.
+/// Progress is truncated to whole percents; the middle of the step is assumed.
 constexpr double HalfPercent = 0.5;
 constexpr double MaxRatio = 20;
-/// A slowdown that no run shows any more is forgotten, so that the backend server is tried again.
+/// A slowdown that no run shows any more decays, so that the backend server is tried again.
 constexpr double SlowdownHalfLifeMs = 1500;
-/// From here on it is the backend server: declared times are off by less in the mean of its tasks.
+/// From this factor on the backend server itself is slow: declared times are off by less on average
+/// over its tasks.
 constexpr double SlowThreshold = 2;
-/// From here on runs are as good as lost there. What is only slow stays: under a load that the
-/// others cannot take over, moving it throws its work away and makes others late.
+/// From this factor on runs have practically no chance there. Runs that are merely slow are not
+/// moved: under a load that other backend servers cannot take over, moving them discards their work
+/// and makes other tasks late.
 constexpr double StandstillThreshold = 6;
-/// Stop, proof that it is over, and the way to another backend server.
+/// Time to stop a run, to confirm that it is over and to send its task to another backend server.
 constexpr std::int64_t MoveMs = 40;
-/// A task that was slow on so many backend servers is slow by itself.
+/// A task that was slow on this many backend servers is slow by itself.
 constexpr std::int64_t MaxMoves = 2;
 
-/// Of the whole run, as its progress at the last observation shows.
+/// Total run time, extrapolated from the progress at the last observation.
 double projectedRunMs(const Run &run)
 {
     const auto observedMs = static_cast<double>(run.progressSeenMs - run.startedMs);
@@ -45,7 +47,8 @@
     return std::clamp(projectedRunMs(run) / expectedMs, 1 / MaxRatio, MaxRatio);
 }
 
-/// By the job itself, at the pace that the backend server should have.
+/// Run time that the task itself would need on a backend server of normal speed, at least the
+/// expected one.
 double intrinsicRunMs(const Run &run, double slowdown)
 {
     const double intrinsicRatio = std::max(ratioOf(run) / slowdown, 1.0);
@@ -99,7 +102,7 @@
     if (count == 0) {
         return;
     }
-    // One more that goes as expected: a single run may be long by itself.
+    // Adds one run at the expected pace: a single run may be long by itself.
     state.logSlowdown = sum / (count + 1);
     state.slowdownUpdatedMs = now.steadyMs;
 }
--- a/Source/Core/Runner/Pace.h
+++ b/Source/Core/Runner/Pace.h
@@ -2,28 +2,31 @@
 
 #include "Runner/RunnerState.h"
 
-/// How fast the backend server works against what was expected of it.
+/// Estimates how fast the backend server works compared to the expected run times.
 ///
-/// Load pattern: a backend server turns slow, or everything on it stands still, while it still
-/// answers and nothing fails. Ends tell of it too late or never: its tasks would count as nearly
-/// done, and every gateway would go on sending it more. The progress of what runs tells within some
-/// tens of milliseconds, while its tasks can still be in time elsewhere.
+/// Load pattern: a backend server becomes slow, or all its runs stop making progress, while it
+/// still answers and nothing fails. The ends of runs reveal this too late or never: its tasks would
+/// count as nearly done, and every gateway would continue to send it more. The progress of the runs
+/// reveals it within some tens of milliseconds, while their tasks can still finish in time
+/// elsewhere.
 namespace Runner {
 
-/// An observation has shown how far the run was when that told of its pace.
+/// Whether the run has been observed long enough after its start for its progress to show its pace.
 bool isPaceKnown(const Run &run);
 
-/// Time that a run still takes, by its progress where it tells and by the estimate otherwise.
+/// Remaining time of a run, by its progress where its pace is known and by the expected run time
+/// otherwise.
 std::int64_t timeLeftMs(const Run &run, Common::Moment now);
 
-/// Takes the progress of what runs into the backend server's slowdown.
+/// Updates the backend server's slowdown from the progress of its runs. Without a run of known pace
+/// it stays unchanged.
 void updateSlowdown(RunnerState &state, Common::Moment now);
 
-/// By how much runs take longer there than expected; 1 where they do not, or nothing is known.
+/// Factor by which runs take longer than expected; 1 if it is less than 2, or nothing is known.
 double slowdownOf(const RunnerState &state, Common::Moment now);
 
-/// Where all stands nearly still: stops what would be late here and in time elsewhere, and gives
-/// back what waits here.
+/// If the backend server has nearly come to a standstill, stops the runs that would be late here
+/// and take less than half the remaining time elsewhere, and returns the waiting tasks.
 Effects moveFromSlow(RunnerState &state, Common::Moment now);
 
 } // namespace Runner
--- a/Source/Core/Runner/RunQueue.h
+++ b/Source/Core/Runner/RunQueue.h
@@ -2,18 +2,20 @@
 
 #include "Runner/RunnerState.h"
 
-/// In which order waiting tasks start.
+/// Order in which waiting tasks start.
 ///
-/// Load pattern: for seconds, more is ordered than the backend server can run at once. By order of
-/// arrival a short urgent task waits behind long ones that have time. The queue's priority goes
-/// first, then the task whose latest start, by its target and expected run time, comes first.
+/// Load pattern: for seconds, more tasks are ordered than the backend server can run at once. In
+/// order of arrival, a short urgent task would wait behind long ones that have time. Tasks are
+/// therefore ordered by priority, then by the latest start that meets their latency objective,
+/// according to the expected run time.
 namespace Runner {
 
 void enqueue(RunnerState &state, RunId id);
 void dequeue(RunnerState &state, RunId id);
 
-/// The runs that start now, in order: each still needs room when its turn comes. A task of which
-/// another run is not over yet waits.
+/// The runs that may start now, in order, regardless of free resources. Left out are runs whose
+/// gateway's grant has expired, that have to wait after a failed start, or whose task has another
+/// run that is not over yet.
 std::vector<RunId> startable(const RunnerState &state, Common::Moment now);
 
 } // namespace Runner
--- a/Source/Core/Runner/StartTimeout.cpp
+++ b/Source/Core/Runner/StartTimeout.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Ten times a usual answer.
+/// Ten times the usual answer time.
 constexpr double MinTimeoutMs = 30;
-/// Also of a process that has seen no answers yet.
+/// Also used until MinSamples answers have been received.
 constexpr double MaxTimeoutMs = 150;
 constexpr std::int64_t MinSamples = 8;
 constexpr double MeanWeight = 1.0 / 8;
--- a/Source/Core/Runner/StartTimeout.h
+++ b/Source/Core/Runner/StartTimeout.h
@@ -2,11 +2,11 @@
 
 #include <cstdint>
 
-/// How long the answer to a start is waited for.
+/// Timeout for the answer to a start, adapted to the answer times.
 ///
-/// Load pattern: one start in twenty goes unanswered for a while, and its task can go elsewhere
-/// only once it is given up and settled. A fixed limit that suits a busy instance is longer than
-/// all the time that a short task has. The limit follows the answers that come.
+/// Load pattern: one start in twenty goes unanswered for a while, and its task can be moved
+/// elsewhere only after the start has timed out and the run is known to be over. A fixed timeout
+/// that suits a busy instance is longer than all the time that a short task has.
 namespace Runner {
 
 struct StartTimeout
@@ -14,8 +14,8 @@
     double meanMs = 0;
     double deviationMs = 0;
     std::int64_t samples = 0;
-    /// Doubled with each start without an answer since the last one that had one: an instance that
-    /// has just turned slow does not give up all it starts.
+    /// Factor that doubles with each unanswered start and returns to 1 with each answer, so that
+    /// not every start times out at an instance that has just become slow.
     std::int64_t backoff = 1;
 };
 
