--- a/Source/Core/Runner/RunnerDaemon.cpp
+++ b/Source/Core/Runner/RunnerDaemon.cpp
@@ -22,19 +22,19 @@
 using Common::Moment;
 
 constexpr std::int64_t StopTimeoutMs = 120;
-/// Beyond the wait that an observation asks for.
+/// Added to the wait that an observation requests.
 constexpr std::int64_t ObserveTimeoutMs = 150;
 constexpr int BackendConnections = 96;
-/// One order in twenty may go unanswered for seconds, which says nothing of the connections; a new
-/// one for each call after each of these made 2,700 connections in 44 s.
+/// One order in twenty may go unanswered for seconds without a fault of the connections. When each
+/// of these timeouts led to a new connection for every call, 2,700 connections were made in 44 s.
 constexpr int TimeoutsUntilSuspect = 3;
-/// A link that is lost may be back at once, with its gateway alive: what it ordered goes on for so
-/// long. Far below the time after which callers submit again.
+/// A lost connection may be restored at once if its gateway still runs, so tasks of the gateway
+/// continue for this long. This is far below the time after which callers submit again.
 constexpr std::int64_t ReconnectGraceMs = 300;
-/// A change of the load by this part of the capacity is told at once, but not more often than the
-/// pause allows.
+/// A change of the load by more than this share of the processors is reported at once, but not more
+/// often than loadReportIntervalMs() allows.
 constexpr double SignificantLoadShare = 0.1;
-/// Without any gateway, the store is asked for their addresses so often.
+/// Interval of reading the gateways' addresses from the store while no gateway is connected.
 constexpr std::int64_t StoreReadIntervalMs = 2000;
 
 struct RegistrationReceived
@@ -74,7 +74,7 @@
         std::variant<Net::LinkUp, Net::LinkDown, Net::FrameArrived, RegistrationReceived,
                      StartEnded, StopEnded, ObserveEnded, GatewaysRead, StopRequested>;
 
-/// A link to a gateway, from the dial on.
+/// A connection to a gateway, from the connection attempt on.
 struct GatewayLink
 {
     std::string address;
@@ -83,7 +83,7 @@
     std::int64_t lastReceivedMs = 0;
     std::int64_t sentMs = 0;
     double reportedProcessors = 0;
-    /// The last change of the orphaned jobs that it was told.
+    /// The last change of the orphaned jobs that was sent to the gateway.
     std::uint64_t reportedOrphansChange = 0;
     std::vector<Schema::AttemptState> unsent;
 };
@@ -136,14 +136,14 @@
     Common::Mailbox<ControlMessage> mailbox;
     Moment now;
     std::map<Net::LinkId, GatewayLink> links;
-    /// Gateways whose link is gone, and since when.
+    /// Gateways whose connection was lost, by instance, and when.
     std::map<std::string, std::int64_t> disconnectedGateways;
-    /// The process that last announced itself at an address.
+    /// By address: the gateway instance that last announced itself there.
     std::map<std::string, std::string> instanceAt;
     std::int64_t stopDeadlineMs = 0;
     std::int64_t storeReadMs = 0;
 
-    // Last, so that their threads end before what they post to.
+    // Declared last, so that their threads end before the members that they use are destroyed.
     std::unique_ptr<Net::PeerHub> hub;
     std::unique_ptr<Net::HttpClient> backend;
     std::unique_ptr<StoreClient::Client> store;
@@ -165,8 +165,8 @@
     this->state.times.grantMs = this->settings.silenceMs;
     this->state.times.suspectMs = Transient::suspectTimeMs(this->settings.leaseMs);
     switchOff(this->state, this->settings.disabledDecisions);
-    // A later process has a higher fence, so that orders of the former one that are still on their
-    // way do nothing.
+    // A later process has a higher fence, so that orders of the previous one that are still in
+    // transit have no effect.
     this->state.fence = this->now.wallMs;
 }
 
@@ -191,8 +191,8 @@
                                             this->metrics);
 }
 
-/// Runs on the HTTP thread. An announcement is acknowledged at once: what follows from it is
-/// decided within milliseconds, and the backend server may call again any time.
+/// Runs on the HTTP thread. An announcement is acknowledged before it is processed: the control
+/// thread handles it within milliseconds, and the backend server may call again at any time.
 Net::HttpResponse RunnerDaemon::Implementation::handleRegistration(const Net::HttpRequest &request)
 {
     return Common::handle(
@@ -338,7 +338,7 @@
 {
     link.sentMs = this->now.steadyMs;
     if (!this->hub->send(id, frame)) {
-        // What the frame said is told again on the next link.
+        // The content of the frame is sent again on the next connection.
         this->metrics.count("auburntrail_frames_undeliverable_total", {{"to", "gateway"}});
         this->hub->close(id);
     }
@@ -501,7 +501,8 @@
 {
     for (const auto &[id, link] : this->links) {
         if (this->now.steadyMs > link.lastReceivedMs + this->settings.silenceMs) {
-            // Gateways beat three times as often: the connection or the gateway is dead.
+            // Gateways send heartbeats three times as often, so the connection or the gateway has
+            // failed.
             this->hub->close(id);
         }
     }
--- a/Source/Core/Runner/RunnerDaemon.h
+++ b/Source/Core/Runner/RunnerDaemon.h
@@ -8,7 +8,7 @@
 namespace Runner {
 
 /// A running agent for transient jobs. One control thread owns all state; HTTP and WebSocket
-/// threads hand it messages and carry out its effects.
+/// threads send it messages and carry out its effects.
 class RunnerDaemon
 {
 public:
@@ -20,8 +20,8 @@
 
     /// Begins a graceful stop. Safe from any thread.
     void requestStop();
-    /// Runs the control thread's loop until the stop is complete or its time is over. Returns false
-    /// where a task still ran.
+    /// Runs the control thread's loop until the stop is complete or its timeout has passed. Returns
+    /// false if runs, or ends that were not acknowledged, were left by then.
     bool run();
 
 private:
@@ -35,8 +35,8 @@
 {
 public:
     RunnerDaemonBuilder &settings(Schema::TransientAgentSettings settings);
-    /// Listens and starts the traffic threads. Throws std::runtime_error where an address cannot be
-    /// had.
+    /// Listens and starts the network threads. Throws std::runtime_error if it cannot listen on an
+    /// address.
     std::unique_ptr<RunnerDaemon> build();
 
 private:
