--- a/Source/Core/Dispatch/Jobs/AgentTable.h
+++ b/Source/Core/Dispatch/Jobs/AgentTable.h
@@ -10,11 +10,11 @@
 #include "Common/Common.h"
 #include "Dispatch/Scheduling/SchedulerTypes.h"
 
-/// Which tasks are with which agent, for the time when an agent or its connection is lost. What an
-/// agent can take is the scheduler's business, not this table's.
+/// Records which tasks have been sent to which agent, for use when an agent or its connection is
+/// lost. The capacity of agents is tracked by the scheduler, not here.
 namespace Dispatch {
 
-/// A start that may have reached an agent.
+/// A task start that may have reached an agent.
 struct SentTask
 {
     TaskKey task;
@@ -24,26 +24,30 @@
 
 struct AgentRecord
 {
-    /// Name of its backend server; a new instance for the same one proves the old agent gone.
+    /// Name of its backend server. When another instance connects for the same backend server, the
+    /// old agent is known to be gone.
     std::string backend;
     bool isConnected = false;
     std::int64_t disconnectedAtMs = 0;
-    /// Job and index of the tasks that may be running there.
+    /// Job and index of the tasks that may be running at the agent.
     std::set<std::pair<std::string, std::int64_t>> tasks;
-    /// Request id of the question that is open after a reconnection; empty when none is.
+    /// Id of the unanswered task report request that was sent after a reconnection; empty if there
+    /// is none.
     std::string pendingReportRequest;
-    /// The starts it was asked about; later ones are none of its answer's business.
+    /// The starts that this request covers. The answer says nothing about later starts.
     std::vector<SentTask> requestedTasks;
 };
 
 struct AgentTable
 {
     std::unordered_map<std::string, AgentRecord> agents;
-    /// Steady time at which an agent with unknown outcomes was last given up.
+    /// Steady time at which an agent was last removed, with the outcomes of its tasks unknown; 0 if
+    /// none was.
     std::int64_t lastRemovalMs = 0;
 };
 
-/// Returns the instances that \a instance replaces: earlier agents of the same backend server.
+/// Marks the agent as connected. Returns the instances that it replaces: earlier agents of the same
+/// backend server.
 std::vector<std::string> connectAgent(AgentTable &table, const std::string &instance,
                                       const std::string &backend);
 void disconnectAgent(AgentTable &table, const std::string &instance, Common::Moment now);
@@ -52,10 +56,10 @@
 void removeAgentTask(AgentTable &table, const std::string &instance, const TaskKey &task);
 
 std::vector<std::string> connectedAgents(const AgentTable &table);
-/// Agents without a link for longer than \a graceMs.
+/// Agents that have been disconnected for at least \a graceMs.
 std::vector<std::string> expiredAgents(const AgentTable &table, Common::Moment now,
                                        std::int64_t graceMs);
-/// Forgets the agent and returns the tasks whose outcome it took along.
+/// Removes the agent and returns its tasks, whose outcomes can no longer be learned.
 std::vector<TaskKey> removeAgent(AgentTable &table, const std::string &instance,
                                  Common::Moment now);
 
--- a/Source/Core/Dispatch/Jobs/JobCompletion.cpp
+++ b/Source/Core/Dispatch/Jobs/JobCompletion.cpp
@@ -15,8 +15,8 @@
 constexpr const char *RefusedCounter = "auburntrail_jobs_refused_total";
 constexpr const char *EndedCounter = "auburntrail_jobs_ended_total";
 
-/// Refusals that start nothing and yet cannot say that the id has not run: with other content, or
-/// longer ago than anybody remembers.
+/// Refusals that start nothing but don't prove that the id has never run: it may have run with
+/// other content, or so long ago that its record has expired.
 bool mayHaveRunBefore(Reason reason)
 {
     return reason == Reason::IdConflict || reason == Reason::SubmissionTooOld
--- a/Source/Core/Dispatch/Jobs/JobCompletion.h
+++ b/Source/Core/Dispatch/Jobs/JobCompletion.h
@@ -6,10 +6,11 @@
 
 #include "Dispatch/GatewayState.h"
 
-/// How a job ends: with one answer, the same for all who wait for it.
+/// Ends jobs. Each job ends with one answer, which is sent to all requests that wait for it.
 namespace Dispatch {
 
-/// Sends \a answer to whoever asked; does nothing for a request that has been answered.
+/// Sends \a answer to the caller or to the gateway that forwarded the request. Does nothing if the
+/// request has already been answered.
 Effects answerRequest(GatewayState &state, const std::string &requestId,
                       const Schema::JobAnswer &answer);
 Effects answerRequests(GatewayState &state, const std::vector<std::string> &requests,
@@ -17,11 +18,12 @@
 Effects refuseRequest(GatewayState &state, const std::string &requestId, Schema::Reason reason,
                       const std::string &detail, std::int64_t retryAfterMs = 0);
 
-/// Ends the job with \a answer, tells all who wait for it, and recalls its tasks from the agents.
+/// Ends the job with \a answer, answers all requests that wait for it, and cancels its tasks at the
+/// agents.
 Effects finishJob(GatewayState &state, JobEntry &job, const Schema::JobAnswer &answer);
-/// Ends the job if its tasks decide it.
+/// Ends the job if the states of its tasks determine its answer.
 Effects finishIfDecided(GatewayState &state, JobEntry &job);
-/// Deadlines passed and jobs that can't be served in time.
+/// Ends jobs whose deadline has passed and jobs that the scheduler can't run in time.
 Effects finishOverdueJobs(GatewayState &state, Common::Moment now);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Jobs/Requests.cpp
+++ b/Source/Core/Dispatch/Jobs/Requests.cpp
@@ -27,7 +27,8 @@
     return found == table.requests.end() ? nullptr : &found->second;
 }
 
-// By value: the id handed in is often the one inside the request that goes away here.
+// The id is passed by value because callers often pass the one stored in the request, which is
+// removed here.
 std::optional<Request> takeRequest(RequestTable &table, std::string id)
 {
     const auto found = table.requests.find(id);
--- a/Source/Core/Dispatch/Jobs/Requests.h
+++ b/Source/Core/Dispatch/Jobs/Requests.h
@@ -11,17 +11,19 @@
 #include "Common/Common.h"
 #include "Schema/Schema.h"
 
-/// Requests of callers that this gateway owes an answer, wherever the job's owner is. Each request
-/// is answered exactly once, by the caller's own connection or by the gateway that forwarded it,
-/// and is found by its own id: a late or crossed answer either meets its request or meets nobody.
+/// Requests that this gateway has to answer, whichever gateway owns the job. Each request is
+/// answered exactly once, on the caller's connection or through the gateway that forwarded it.
+/// Requests are looked up by their own id, so that an answer that comes late or out of order either
+/// matches its request or is ignored.
 namespace Dispatch {
 
 enum class RequestStage {
-    /// Nobody to ask yet: no owner, or the owner is not serving yet.
+    /// Can't be processed yet: the shard has no owner, or its owner can't be reached or isn't
+    /// serving it.
     Held,
-    /// With another gateway.
+    /// Sent to another gateway.
     Forwarded,
-    /// With this gateway's ledger, until the job ends.
+    /// Waits for a job in this gateway's ledger to end or to be accepted.
     Waiting,
 };
 extern const Common::NameTable<RequestStage, 3> RequestStageNames;
@@ -29,21 +31,22 @@
 struct Request
 {
     std::string id;
-    /// Gateway that forwarded it, under this request id of its own; empty for a caller's own.
+    /// Gateway that forwarded the request; empty if it came from a caller.
     std::string fromGateway;
+    /// Id of the request at the forwarding gateway, or the token of the caller's connection.
     std::string remoteId;
     Schema::ForwardKind kind = Schema::ForwardKind::Get;
     bool wait = true;
     std::string job;
     std::optional<Schema::SubmitJob> submit;
-    /// True when this gateway made up the job's id: no other gateway can have seen it before.
+    /// True if this gateway generated the job's id: no other gateway can have received it before.
     bool idGeneratedHere = false;
     std::int64_t deadlineMs = 0;
     RequestStage stage = RequestStage::Held;
     std::string forwardedTo;
-    /// Steady time before which a held request is not tried again.
+    /// Steady time before which a held request is not routed again.
     std::int64_t retryAtMs = 0;
-    /// True once any gateway may have acted on it.
+    /// True once any gateway, this one included, may have acted on the request.
     bool mayHaveTakenEffect = false;
 };
 
@@ -55,23 +58,25 @@
     std::uint64_t lastId = 0;
 };
 
-/// Gives \a request its id and keeps it until takeRequest().
+/// Assigns an id to \a request and stores it until takeRequest().
 Request &addRequest(RequestTable &table, Request request);
 Request *findRequest(RequestTable &table, const std::string &id);
-/// Ends the request; empty where it was answered before.
+/// Removes the request and returns it; empty if it has already been answered.
 std::optional<Request> takeRequest(RequestTable &table, std::string id);
 
 void holdRequest(RequestTable &table, Request &request, std::int64_t retryAtMs = 0);
 void markForwarded(RequestTable &table, Request &request, const std::string &instance);
 void markWaiting(RequestTable &table, Request &request);
-/// Requests with \a instance go back to Held: its link was lost, and asking again is idempotent.
+/// Returns requests that were forwarded to \a instance to Held after its connection was lost.
+/// Sending them again is idempotent.
 void holdForwardedTo(RequestTable &table, const std::string &instance);
-/// Held requests that may be tried now.
+/// Held requests that may be routed now.
 std::vector<std::string> heldRequests(const RequestTable &table, Common::Moment now);
 std::vector<std::string> overdueRequests(const RequestTable &table, Common::Moment now);
 
 Schema::Frame forwardFrame(const Request &request);
-/// What is known when nobody could be asked in time.
+/// The answer to a request whose deadline has passed before the owner answered it. The outcome is
+/// unknown unless the job is proven not to have run.
 Schema::JobAnswer ownerUnreachableAnswer(const Request &request);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Jobs/Router.cpp
+++ b/Source/Core/Dispatch/Jobs/Router.cpp
@@ -28,8 +28,8 @@
 Effects forwardRequest(GatewayState &state, Request &request, const std::string &owner)
 {
     if (!request.fromGateway.empty()) {
-        // A forwarded request is not forwarded again: two gateways with different tables would pass
-        // it to and fro. The sender asks the owner it knows by then.
+        // A forwarded request is not forwarded again: two gateways with different ownership tables
+        // would send it back and forth. The sender retries with the owner that it knows by then.
         const std::optional<Request> taken = takeRequest(state.requests, request.id);
         Schema::Frame frame = frameOf(Schema::FrameType::ForwardAnswer);
         frame.forwardAnswer.emplace();
@@ -103,7 +103,8 @@
     if (answer.answer) {
         return answerRequest(state, answer.requestId, *answer.answer);
     }
-    // Its table is older or newer than ours; a moment later one of them has caught up.
+    // The other gateway's ownership table is older or newer than ours. The delay gives the older
+    // one time to catch up.
     holdRequest(state.requests, *request, now.steadyMs + NotOwnerRetryDelayMs);
     return {CountReason{RetriedCounter, Schema::Reason::OwnerUnreachable}};
 }
--- a/Source/Core/Dispatch/Jobs/Submissions.cpp
+++ b/Source/Core/Dispatch/Jobs/Submissions.cpp
@@ -25,7 +25,8 @@
                        [&name](const Schema::Service &service) { return service.name == name; });
 }
 
-/// The request waits for the job's end, or for its acceptance.
+/// Makes the request wait for the end of the job or, if its caller doesn't wait, for its
+/// acceptance. A job that has been accepted already is answered at once in the latter case.
 Effects waitForJob(GatewayState &state, const std::string &requestId, JobEntry &job)
 {
     Request *request = findRequest(state.requests, requestId);
@@ -41,8 +42,9 @@
     return {};
 }
 
-/// An id that an earlier owner may have acted on without trace: it is never started, and every
-/// submission of it gets the same answer.
+/// Answers a submission whose id an earlier owner may have acted on without leaving a record that
+/// this gateway can read. The job is stored as ended, so that it is never started and every
+/// resubmission gets the same answer.
 Effects answerUnknownOutcome(GatewayState &state, const std::string &requestId,
                              const Schema::SubmitJob &submit, Reason reason)
 {
@@ -73,7 +75,7 @@
     return waitForJob(state, requestId, job);
 }
 
-/// First sight of the id in this ledger; the journal may still know it.
+/// Handles a submission whose id is not in the ledger. The journal may still contain it.
 Effects submitUnknownJob(GatewayState &state, const std::string &requestId,
                          const Schema::SubmitJob &submit, Common::Moment now)
 {
@@ -108,7 +110,8 @@
     return acceptJob(state, requestId, submit, now);
 }
 
-/// The content of a job that this owner knew only by its traces.
+/// Adds the submitted content to a job that was known only from the journal or from reports, and
+/// schedules the job.
 Effects resumeRecoveredJob(GatewayState &state, const std::string &requestId, JobEntry &job,
                            const Schema::SubmitJob &submit, Common::Moment now)
 {
@@ -132,7 +135,8 @@
     JobEntry *job = findJob(state.ledger, *submit.id);
     const SubmitVerdict status = lookUp(state.ledger, submit);
     const bool isNew = status == SubmitVerdict::New || status == SubmitVerdict::Refused;
-    // A deadline that has passed does not take back the answer of a job that has ended.
+    // Invalid times only prevent a job from being accepted. For example, a job that has ended keeps
+    // its answer after its deadline.
     if (timeFailure && isNew) {
         const bool mayHaveRun =
                 timeFailure->reason == Reason::DeadlinePassed && status == SubmitVerdict::New
@@ -167,8 +171,7 @@
     const Request *request = findRequest(state.requests, requestId);
     JobEntry *job = findJob(state.ledger, request->job);
     if (job == nullptr) {
-        return refuseRequest(state, requestId, Reason::UnknownJob,
-                             "no job with this id is remembered");
+        return refuseRequest(state, requestId, Reason::UnknownJob, "no job with this id is known");
     }
     if (job->answer) {
         return answerRequest(state, requestId, *job->answer);
--- a/Source/Core/Dispatch/Jobs/Submissions.h
+++ b/Source/Core/Dispatch/Jobs/Submissions.h
@@ -4,9 +4,10 @@
 
 #include "Dispatch/GatewayState.h"
 
-/// What the owner of a job says to a submission, question or cancellation. A job is accepted at
-/// most once: an id that has been seen gets the answer of its job, and one that an earlier owner
-/// may have started is answered, not started.
+/// Handles submissions, status queries and cancellations as the owner of the job. A job is accepted
+/// at most once: a known id gets the answer of its job, and a job that an earlier owner may have
+/// started is answered but not started. Only a job that was refused before any start, other than by
+/// a cancellation, may be submitted again.
 namespace Dispatch {
 
 Effects handleSubmit(GatewayState &state, const std::string &requestId, Common::Moment now);
--- a/Source/Core/Dispatch/Jobs/TaskReports.cpp
+++ b/Source/Core/Dispatch/Jobs/TaskReports.cpp
@@ -15,7 +15,8 @@
 constexpr const char *RetriedCounter = "auburntrail_task_retries_total";
 constexpr const char *ReportedCounter = "auburntrail_task_reports_total";
 
-/// Frees the task's place at the agent, and lets the scheduler learn from how it went.
+/// Frees the task's slot at the agent and reports the outcome to the scheduler, which learns from
+/// it.
 void releaseSlot(GatewayState &state, const std::string &agent, const TaskKey &task,
                  const Schema::TaskState &report, Common::Moment now)
 {
@@ -37,8 +38,9 @@
             taskNotStarted(state.scheduler, task, agent, reason, now, random);
     Effects effects{CountReason{RetriedCounter, reason}};
     if (decision == RetryDecision::GivenUp && !job.answer) {
-        append(effects, finishJob(state, job,
-                                  givenUpAnswer(job, reason, "no backend server took the task")));
+        append(effects,
+               finishJob(state, job,
+                         givenUpAnswer(job, reason, "no backend server accepted the task")));
     }
     return effects;
 }
@@ -66,7 +68,9 @@
     return effects;
 }
 
-/// A task of a job that neither the ledger nor the journal knows: it was started unlogged.
+/// Adds the job of a reported task that is not in the ledger. If the journal doesn't contain the
+/// job either, it was started without a durable intent and is added as ended with an unknown
+/// outcome.
 JobEntry &addReportedJob(GatewayState &state, const Schema::TaskState &report, Common::Moment now)
 {
     const std::optional<JournaledIntent> intent = findIntent(state.site.journal, report.job);
--- a/Source/Core/Dispatch/Jobs/TaskReports.h
+++ b/Source/Core/Dispatch/Jobs/TaskReports.h
@@ -4,13 +4,15 @@
 
 #include "Dispatch/GatewayState.h"
 
-/// What the owner learns of tasks that it has sent: outcomes, refusals, and agents that are gone.
+/// Processes what agents report about tasks that the owner has sent (outcomes and refusals), and
+/// the loss of agents.
 namespace Dispatch {
 
 Effects handleTaskReports(GatewayState &state, const std::string &agent,
                           const Schema::TaskStates &report, Common::Moment now,
                           Common::Random &random);
-/// The tasks of an agent that is gone for good: their outcomes will not be learned.
+/// Removes an agent that is gone for good. Its tasks are marked as lost because their outcomes can
+/// no longer be learned.
 Effects removeLostAgent(GatewayState &state, const std::string &agent, Common::Moment now);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Jobs/TaskStarts.cpp
+++ b/Source/Core/Dispatch/Jobs/TaskStarts.cpp
@@ -15,7 +15,7 @@
     Schema::Intent intent;
     intent.job = job.id;
     intent.digest = job.digest;
-    // A job that had ended before it was handed over has an answer in place of its tasks.
+    // A job that ended before it was handed over has an answer instead of its tasks.
     intent.tasks = job.answer ? job.answer->taskCount : static_cast<std::int64_t>(job.tasks.size());
     intent.firstSubmittedMs = job.firstSubmittedMs;
     intent.team = job.team;
@@ -121,8 +121,8 @@
 Effects startTasks(GatewayState &state, Common::Moment now, Common::Random &random)
 {
     const std::vector<std::int64_t> served = shardsIn(state.site.ownership, ShardPhase::Serving);
-    // Without a majority of the roster the agents would refuse: tasks keep their place in the
-    // queue.
+    // Without a majority of the roster the agents would refuse the starts, so the tasks keep their
+    // position in the queue.
     if (served.empty() || !mayStart(state.site.ownership, served.front(), now)) {
         return {};
     }
