--- a/Source/Core/Dispatch/Dispatch.h
+++ b/Source/Core/Dispatch/Dispatch.h
@@ -10,5 +10,5 @@
 #include "Dispatch/Scheduling/Scheduler.h"
 #include "Dispatch/Site.h"
 
-/// Public header of the dispatch library: every decision of a gateway as free functions over plain
-/// structs, without network, clock or thread.
+/// Public header of the dispatch library. It contains the decision logic of a gateway as free
+/// functions on plain structs, without network, clock or threads.
--- a/Source/Core/Dispatch/Effects.h
+++ b/Source/Core/Dispatch/Effects.h
@@ -8,8 +8,8 @@
 #include "Common/Append.h"
 #include "Schema/Schema.h"
 
-/// What decisions ask of the outside. Decision code does no input or output of its own: it returns
-/// these, and the daemon's control thread, or a test in virtual time, carries them out in order.
+/// Actions requested by decision code. Decision code does no input or output itself: it returns
+/// effects, and the daemon's control thread, or a test in virtual time, executes them in order.
 namespace Dispatch {
 
 struct SendToGateway
@@ -26,8 +26,8 @@
 
 enum class LogStream { Control, Journal, Config };
 
-/// Appended in order, one batch for each stream in flight at a time. The result comes back with the
-/// same \a batch.
+/// Appends records to a stream, in order. The control and journal streams have one batch in flight
+/// at a time. The result comes back with the same \a batch.
 struct AppendToLog
 {
     LogStream stream = LogStream::Control;
@@ -46,7 +46,7 @@
 struct AnswerConfigure
 {
     std::string requestId;
-    /// None where the change was accepted.
+    /// None if the change was accepted.
     Schema::Reason reason = Schema::Reason::None;
     std::string detail;
     std::int64_t version = 0;
@@ -58,14 +58,14 @@
     Schema::QueryAnswer answer;
 };
 
-/// Adds one to a counter that is labelled with a reason.
+/// Increments a counter that is labelled with a reason.
 struct CountReason
 {
     std::string counter;
     Schema::Reason reason = Schema::Reason::None;
 };
 
-/// One log line.
+/// Writes a line to the log of this process.
 struct LogLine
 {
     std::string event;
--- a/Source/Core/Dispatch/GatewayCore.cpp
+++ b/Source/Core/Dispatch/GatewayCore.cpp
@@ -17,11 +17,12 @@
 
 namespace {
 
-/// The owner answers at the job's deadline; its answer needs a moment to come back.
+/// Time for the answer to arrive: the owner sends it as late as the job's deadline.
 constexpr std::int64_t AnswerGraceMs = 2'000;
 constexpr std::int64_t NonWaitingTimeoutMs = 10'000;
 constexpr std::int64_t SweepIntervalMs = 1'000;
-/// An agent without a connection for this many silences takes its outcomes along for good.
+/// An agent that has been disconnected for this many times agentSilenceMs is removed, and the
+/// outcomes of its tasks are lost.
 constexpr std::int64_t AgentExpiryFactor = 4;
 
 LedgerSettings ledgerSettings(const Schema::GatewaySettings &settings)
@@ -74,7 +75,7 @@
     return effects;
 }
 
-/// Applies a configuration that has come into force.
+/// Passes a new configuration to the scheduler.
 void updateSchedulerConfiguration(GatewayState &state, Common::Moment now)
 {
     const Schema::Configuration &config = configuration(state.site.config);
@@ -122,7 +123,8 @@
             answer.detail = "another change to the same key came first";
         } else if (result.status == ChangeStatus::Unknown) {
             answer.reason = Reason::LogUnavailable;
-            answer.detail = "the log has not shown the change in time; it may yet take effect";
+            answer.detail =
+                    "the log has not confirmed the change in time; it may still take effect";
         }
         effects.emplace_back(std::move(answer));
     }
@@ -146,8 +148,8 @@
     return state.requests.requests.empty() && state.ledger.deadlines.empty() && !hasOffers;
 }
 
-/// Leaves once nothing is owed: at once where the shards have a successor, else after none has
-/// shown up for a peer's silence (the last gateway of a site that is stopped as a whole).
+/// Leaves the roster once no work is pending: at once if this gateway owns no shards any more, else
+/// after peerSilenceMs without a successor (the last gateway of a site that is stopped as a whole).
 void stopTick(GatewayState &state, Common::Moment now)
 {
     if (!state.stopping || state.isStopComplete) {
@@ -166,8 +168,8 @@
     if (state.leavingSinceMs == 0) {
         return;
     }
-    // Without the log, or with another member silent, leaving cannot be settled: the seat is then
-    // replaced like a lost one.
+    // Without the log, or while another member is silent, leaving can't be completed. The gateway
+    // then stops anyway, and its roster entry is replaced like that of a lost gateway.
     const bool isLeaveTimedOut =
             now.steadyMs >= state.leavingSinceMs + 2 * state.settings.peerSilenceMs;
     state.isStopComplete = hasLeft(state.site.ownership) || isLeaveTimedOut;
--- a/Source/Core/Dispatch/GatewayCore.h
+++ b/Source/Core/Dispatch/GatewayCore.h
@@ -5,14 +5,14 @@
 
 #include "Dispatch/GatewayState.h"
 
-/// A gateway as one state machine: every event of the control thread, and the effects it has. The
-/// daemon and the tests drive the same functions.
+/// A gateway as a state machine: one function for each event of the control thread, which returns
+/// the effects of the event. The daemon and the tests call the same functions.
 namespace Dispatch {
 
 /// A request that reached this gateway from a caller or operator.
 struct CallerRequest
 {
-    /// Names the connection to answer; comes back in AnswerRequest.
+    /// Identifies the connection to answer; returned in AnswerRequest.
     std::string token;
     Schema::ForwardKind kind = Schema::ForwardKind::Get;
     bool wait = true;
@@ -41,13 +41,14 @@
 Effects handleAppendResult(GatewayState &state, LogStream stream, std::uint64_t batch,
                            AppendStatus status, Common::Moment now);
 
-/// Everything that follows from what has come in and from the time: call it after each batch of
-/// events and at least every few milliseconds.
+/// Performs the work that follows from received events and from the passage of time. Must be called
+/// after each batch of events and at least every few milliseconds.
 Effects gatewayTick(GatewayState &state, Common::Moment now, Common::Random &random);
 
-/// Ready for callers: it has a configuration and knows an owner for every shard.
+/// True if the gateway has a configuration, knows an owner for every shard and isn't stopping, so
+/// that callers may use it.
 bool isReady(const GatewayState &state);
-/// A graceful stop: hands over its shards, then answers what it still owes.
+/// Begins a graceful stop: the gateway hands over its shards and answers its remaining requests.
 void beginStop(GatewayState &state);
 bool isStopped(const GatewayState &state);
 
--- a/Source/Core/Dispatch/GatewayState.h
+++ b/Source/Core/Dispatch/GatewayState.h
@@ -19,16 +19,19 @@
 /// All state of a gateway's control thread.
 namespace Dispatch {
 
-/// One takeover of shards under way: what their predecessors' tasks came to.
+/// A takeover of shards in progress, in which the states of tasks that earlier owners started are
+/// collected.
 struct Takeover
 {
     std::string requestId;
     std::vector<std::int64_t> shards;
     std::set<std::string> gatewaysAnswered;
-    /// Agents that may hold tasks of the shards, as far as the gateways that answered know.
+    /// Agents that may have tasks of the shards, as far as this gateway and those that have
+    /// answered know.
     std::set<std::string> agentsKnown;
     std::set<std::string> agentsAsked;
     std::set<std::string> agentsAnswered;
+    /// Wall-clock time since which the gateways' lists of agents are complete.
     std::int64_t completeSinceMs = 0;
     std::int64_t startedMs = 0;
     std::int64_t lastAskedMs = 0;
@@ -37,8 +40,8 @@
 struct RecoveryState
 {
     std::vector<Takeover> takeovers;
-    /// For each shard taken over: a job first submitted since then, of which no agent has told, has
-    /// not started.
+    /// Wall-clock time for each shard that was taken over: a job that was first submitted since
+    /// then and that no agent has reported has not started.
     std::map<std::int64_t, std::int64_t> provenNotStartedSinceMs;
 };
 
@@ -50,7 +53,7 @@
     std::int64_t lastSentMs = 0;
 };
 
-/// An operator's question that waits for other gateways' rows.
+/// An operator's query that waits for rows from other gateways.
 struct PendingQuery
 {
     std::string token;
@@ -74,15 +77,16 @@
     RecoveryState recovery;
     std::vector<OfferedHandover> offers;
     std::vector<PendingQuery> queries;
-    /// Jobs that wait for their intent.
+    /// Jobs whose tasks may not start yet because their intents are not durable.
     std::set<std::string> awaitingIntent;
     std::int64_t schedulerConfigVersion = -1;
-    /// Table version for which lost shards were last dropped.
+    /// Version of the ownership table for which dropLostShards() was last called.
     std::int64_t lostShardsDroppedVersion = -1;
     std::uint64_t lastRequestNumber = 0;
     std::int64_t lastSweepMs = 0;
     bool stopping = false;
-    /// Steady times during a stop: since when nothing is owed, and when leaving was begun for good.
+    /// Steady times during a stop: since when no work is pending, and when the gateway began to
+    /// leave the roster.
     std::int64_t idleSinceMs = 0;
     std::int64_t leavingSinceMs = 0;
     bool isStopComplete = false;
--- a/Source/Core/Dispatch/Site.cpp
+++ b/Source/Core/Dispatch/Site.cpp
@@ -20,7 +20,8 @@
     return own;
 }
 
-/// Fenced shards get one mark in the journal: what is read up to it is all that can matter.
+/// Appends one marker to the journal for all newly fenced shards. Earlier owners can't add relevant
+/// records after it, so reading the journal up to the marker is enough.
 void appendFencedShardsMarker(SiteState &site, Common::Moment now, Common::Random &random)
 {
     std::vector<Schema::ShardOwner> shards;
@@ -60,7 +61,8 @@
     }
 }
 
-/// The declaration goes out with heartbeats, and its acknowledgement lets starts go on.
+/// Passes the journal's declaration of unlogged starts to the heartbeats, and the majority's
+/// acknowledgement back to the journal, which then allows unlogged starts.
 void updateDeclarations(SiteState &site)
 {
     setDeclaration(site.ownership, site.journal.unloggedSinceMs);
