--- a/Source/Core/Dispatch/Configuration/ConfigRules.cpp
+++ b/Source/Core/Dispatch/Configuration/ConfigRules.cpp
@@ -47,10 +47,10 @@
         return "name: allowed: 1 to 128 characters";
     }
     if (change.remove) {
-        return value ? "a removal carries no value" : "";
+        return value ? "a removal must not have a value" : "";
     }
     if (!value) {
-        return "the value that the kind names is missing";
+        return "the value for this kind of change is missing";
     }
     return nameOfValue(*value) == change.name ? "" : "the value's name differs from the key";
 }
@@ -65,7 +65,7 @@
 std::string policyError(const Schema::ConfigChange &change)
 {
     if (change.remove == change.policy.has_value()) {
-        return "a policy is either set, with its value, or removed";
+        return "a policy change must either have a value or be a removal";
     }
     return "";
 }
@@ -148,7 +148,7 @@
 std::string configChangeError(const Schema::ConfigChange &change)
 {
     if (valueCount(change) > 1) {
-        return "a change carries one value";
+        return "a change must not have more than one value";
     }
     const std::string error = schemaError(change);
     return error.empty() ? valueError(change) : error;
--- a/Source/Core/Dispatch/Configuration/ConfigRules.h
+++ b/Source/Core/Dispatch/Configuration/ConfigRules.h
@@ -5,22 +5,24 @@
 
 #include "Schema/Schema.h"
 
-/// What a configuration may hold. Ranges are those of the message schema; what the schema can't say
-/// (a change carries what its kind names, a key that is removed exists) is checked here.
+/// Validates and applies configuration changes. Ranges are defined by the message schema. Rules
+/// that the schema can't express are checked here: a change has the value that its kind requires,
+/// and a key that is removed exists.
 namespace Dispatch {
 
 /// Name of the key that \a change sets, e.g. "team/quotes".
 std::string configKey(const Schema::ConfigChange &change);
-/// 0 where the key was never changed. A removed key keeps the version of its removal, so that a
-/// change based on an older document still loses.
+/// Version of the last change to \a key; 0 if it was never changed. A removed key keeps the version
+/// of its removal, so that a change based on an older document is still rejected.
 std::int64_t keyVersion(const Schema::Configuration &configuration, const std::string &key);
 
-/// Empty when \a change is well formed; otherwise what is wrong with it.
+/// Returns what is wrong with \a change by itself, or an empty string if it is valid.
 std::string configChangeError(const Schema::ConfigChange &change);
-/// Empty when \a change fits \a configuration as well.
+/// Returns an error if \a change removes a key that \a configuration doesn't contain, otherwise an
+/// empty string.
 std::string configReferenceError(const Schema::Configuration &configuration,
                                  const Schema::ConfigChange &change);
-/// Sets or removes the key in \a configuration, which then has \a version.
+/// Sets or removes the key in \a configuration and sets the configuration's version to \a version.
 void applyConfigChange(Schema::Configuration &configuration, const Schema::ConfigChange &change,
                        std::int64_t version);
 
--- a/Source/Core/Dispatch/Configuration/ConfigStore.cpp
+++ b/Source/Core/Dispatch/Configuration/ConfigStore.cpp
@@ -17,8 +17,9 @@
     }
 }
 
-/// The first record with this id decides: a repetition of one that won is void, as its key has
-/// changed since, and must not turn the verdict.
+/// Reports the result of a proposal and removes it, so that only the first record with this id
+/// counts. A repetition of an accepted record is rejected, because its key has changed since, and
+/// must not change the result.
 void resolveProposal(ConfigStore &store, const std::string &recordId, bool isAccepted)
 {
     const auto found = std::find_if(
@@ -56,8 +57,8 @@
     }
 }
 
-/// A snapshot closes a gap only where every
-/// record since the offset it reflects will be read after it.
+/// A snapshot closes a gap only if none of the records since the offset that it reflects was
+/// dropped.
 void readSnapshot(ConfigStore &store, const Schema::LogEntry &entry)
 {
     store.oldestNeededWallMs = entry.record.wallMs;
@@ -65,7 +66,8 @@
         || entry.record.basedOn.value_or(0) < store.gapEnd) {
         return;
     }
-    // Changes read since the gap have been put on a document that lacked the dropped ones.
+    // The document from the log lacks the dropped changes, so the snapshot replaces it. Changes
+    // read since the gap that the snapshot doesn't reflect are applied to it.
     store.fromLog = *entry.record.configuration;
     store.gap = false;
     for (const Schema::LogEntry &held : store.entriesAfterGap) {
@@ -92,7 +94,7 @@
     readChange(store, entry);
 }
 
-/// A peer's document whose last change lies past the gap reflects all that was dropped.
+/// A peer's document whose version has reached the end of the gap includes all dropped changes.
 void closeGapFromPeers(ConfigStore &store)
 {
     if (!store.gap || store.current.version < store.gapEnd) {
@@ -108,8 +110,10 @@
     updateCurrent(store, store.fromLog);
 }
 
-/// Live gateways put a snapshot into the log within seconds of its return. Without one there are
-/// none, and waiting on would keep the site down for good.
+/// Resumes without the dropped records if there is no current document and nothing has closed the
+/// gap for lostAfterMs. Live gateways write a snapshot within seconds after the log is available
+/// again. If there is none, no gateway has the document, and waiting longer would keep the site
+/// down forever.
 Effects resumeAfterLoss(ConfigStore &store, Common::Moment now)
 {
     if (!store.gap || !store.readToEnd || store.current.version != 0
@@ -194,7 +198,8 @@
     if (!error.empty()) {
         return Common::failure(Schema::Reason::ConfigInvalid, std::move(error));
     }
-    // First, so that the loser of a race hears of the race and not of its consequence.
+    // Checked before references, so that a change that lost a race is rejected with the conflict
+    // and not with an error that the conflict caused.
     const std::int64_t changedAt = keyVersion(store.current, configKey(change));
     if (changedAt > basedOn) {
         return Common::failure(Schema::Reason::ConfigConflict, configKey(change)
--- a/Source/Core/Dispatch/Configuration/PolicyPresets.cpp
+++ b/Source/Core/Dispatch/Configuration/PolicyPresets.cpp
@@ -5,12 +5,12 @@
 namespace Dispatch {
 namespace {
 
-/// Half of the default queue, 30 s of work for 88 slots: an alert that would wait longer does
-/// better to be told at once.
+/// Half of the default queue length: 30 s of work for 88 slots. A job that would wait longer, such
+/// as an alert, is better refused at once.
 constexpr std::int64_t ShortQueueTasks = 10000;
 constexpr std::int64_t ShortQueueTasksPerCaller = 2500;
-/// In the load model, 20 ms save a quarter of the start messages of single tasks and cost 4 to 6%
-/// of the median response; 50 ms save half and cost 15%.
+/// In the load model, waiting 20 ms saves a quarter of the start messages of single tasks and adds
+/// 4 to 6% to the median response time; waiting 50 ms saves half and adds 15%.
 constexpr std::int64_t FewMessagesBatchMs = 20;
 
 } // namespace
--- a/Source/Core/Dispatch/Configuration/PolicyPresets.h
+++ b/Source/Core/Dispatch/Configuration/PolicyPresets.h
@@ -3,14 +3,15 @@
 #include "Common/Common.h"
 #include "Schema/Schema.h"
 
-/// Policies to start from, one for each of the two things that users weigh: response time, and the
-/// messages that it costs. An operator publishes one and changes single figures from there.
+/// Predefined policies, one for each of two goals that compete: short response times and few
+/// messages. An operator publishes one of them and then changes single values.
 namespace Dispatch {
 
 enum class PolicyPreset {
-    /// Every second counts: each start leaves at once, the queue is kept short.
+    /// Short response times: each start is sent at once, and the queue is kept short.
     ResponseTime,
-    /// Needless traffic counts: starts wait a little for others to the same agent.
+    /// Little traffic: starts wait for a short time, to be sent together with others to the same
+    /// agent.
     FewMessages
 };
 
@@ -19,7 +20,7 @@
         {PolicyPreset::FewMessages, "few-messages"},
 }};
 
-/// The defaults, with the figures of \a preset.
+/// The default policy with the values of \a preset.
 Schema::Policy presetPolicy(PolicyPreset preset);
 
 } // namespace Dispatch
