--- a/Source/Core/Dispatch/Query/QueryLanguage.cpp
+++ b/Source/Core/Dispatch/Query/QueryLanguage.cpp
@@ -74,7 +74,8 @@
     return tokens;
 }
 
-/// Takes the tokens one by one. The first fault stands; parsing goes on harmlessly after it.
+/// Reads the tokens one by one. Only the first error is kept; parsing continues after it, but its
+/// result is not used.
 struct Parser
 {
     std::vector<Token> tokens;
@@ -125,7 +126,7 @@
         if (this->peek().kind == TokenKind::Quoted) {
             return this->take().text;
         }
-        return this->takeWord("a value, in double quotes where it has blanks");
+        return this->takeWord("a value, in double quotes if it contains spaces");
     }
 };
 
@@ -209,7 +210,8 @@
             std::distance(columns.begin(), std::find(columns.begin(), columns.end(), name)));
 }
 
-/// Numbers compare as numbers, all else as text.
+/// Compares two numbers as numbers and all other values as text. Returns a negative value, 0 or a
+/// positive value.
 int compareValues(const std::string &left, const std::string &right)
 {
     char *leftEnd = nullptr;
--- a/Source/Core/Dispatch/Query/QueryLanguage.h
+++ b/Source/Core/Dispatch/Query/QueryLanguage.h
@@ -9,7 +9,8 @@
 
 #include "Common/Common.h"
 
-/// The operators' language: what a text asks for. The grammar is in docs/LANGUAGE.md.
+/// Parser of the operators' query language, and the operations that a query applies to rows. The
+/// grammar is in docs/LANGUAGE.md.
 namespace Dispatch {
 
 enum class QueryTable { Jobs, Tasks, BackendServers, Gateways, Shards, Services, Teams };
@@ -27,20 +28,20 @@
 struct Query
 {
     QueryTable table = QueryTable::Jobs;
-    /// tasks of job ID
+    /// Job id of "tasks of job ID".
     std::string job;
     std::vector<QueryCondition> conditions;
-    /// count TABLE by FIELDS; empty for a plain list.
+    /// Fields of "count TABLE by FIELDS"; empty if rows are listed.
     std::vector<std::string> countBy;
     std::string orderBy;
     bool isDescending = false;
     std::size_t limit = 100;
 };
 
-/// Where a text is wrong, and what was expected there.
+/// Position of a syntax error and what was expected there.
 struct QueryError
 {
-    /// From 1.
+    /// Starts at 1.
     std::size_t column = 1;
     std::string expected;
 };
@@ -49,16 +50,16 @@
 
 using QueryRow = std::vector<std::string>;
 
-/// Columns and rows before filtering.
+/// A table of rows, with the names of its columns.
 struct QueryRows
 {
     std::vector<std::string> columns;
     std::vector<QueryRow> rows;
 };
 
-/// Names a field of the query that \a columns lacks; empty when all are there.
+/// Returns the first field of the query that is not in \a columns, or an empty string.
 std::string unknownField(const Query &query, const std::vector<std::string> &columns);
-/// Keeps the rows that meet every condition.
+/// Removes the rows that don't meet every condition.
 void filterRows(const Query &query, QueryRows &rows);
 /// Counts, orders and limits filtered rows.
 void shapeRows(const Query &query, QueryRows &rows);
--- a/Source/Core/Dispatch/Query/SiteQuery.cpp
+++ b/Source/Core/Dispatch/Query/SiteQuery.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr std::int64_t PartTimeoutMs = 1'000;
-/// Bounds the work and the answer of one question; a narrower question shows the rest.
+/// Limits the work and the size of the answer that one query causes at another gateway. A narrower
+/// query returns the remaining rows.
 constexpr std::size_t MaxRowsPerGateway = 10'000;
 
 std::string text(std::int64_t number)
