--- a/Source/Soak/Load.cpp
+++ b/Source/Soak/Load.cpp
@@ -183,7 +183,7 @@
     call.method = "POST";
     call.url = "http://" + gateway.callerAddress + job.shape->path + job.id;
     call.body = FakePlatform::jobBody(job.shape->work);
-    call.headers = {HostHeader, FakePlatform::patienceHeader(PatienceMs)};
+    call.headers = {HostHeader, FakePlatform::remainingTimeoutHeader(PatienceMs)};
     call.timeoutMs = job.leavesAfterMs > 0 ? job.leavesAfterMs : PatienceMs;
     Submission made;
     made.job = job.id;
--- a/Source/Soak/StandInPrograms.cpp
+++ b/Source/Soak/StandInPrograms.cpp
@@ -52,7 +52,7 @@
         return true;
     }
     if (request.path == "/forget") {
-        store.forget();
+        store.dropHistory();
         return true;
     }
     return request.path == "/fault"
@@ -112,7 +112,7 @@
             std::this_thread::sleep_for(Drain);
         }
         if (leaves && (isTaken || nowMs() > leavingSinceMs + PatienceMs)) {
-            server.sayGone(program.registration);
+            server.announceEnd(program.registration);
             kill(getpid(), SIGTERM);
             return;
         }
@@ -128,7 +128,7 @@
     Common::startLogging("soak-store", program.daemon.logLevel);
     FakePlatform::Store store(program.daemon.port);
     if (program.hidesGateways) {
-        store.hideGateways();
+        store.dropGatewayRecords();
     }
     const auto commands =
             serveCommands(program.controlPort, [&store](const Net::HttpRequest &request) {
--- a/Source/UnitTests/Platform/BackendCallsTest.cpp
+++ b/Source/UnitTests/Platform/BackendCallsTest.cpp
@@ -34,7 +34,7 @@
     return request;
 }
 
-bool isTaken(const Net::HttpRequest &request)
+bool isAccepted(const Net::HttpRequest &request)
 {
     return Common::handle(
             [&]() -> Common::Outcome<bool> {
@@ -132,10 +132,10 @@
 
 TEST_CASE("Announcements with members missing or of another type are refused")
 {
-    const std::string whole =
+    const std::string valid =
             R"({"service":"s","address":"10.0.0.9:80","state":"ready","sequence":4,)"
             R"("capacity":{"cpu":16000,"memMb":32768,"gpu":0},"labels":["a",7,"r1-3"],"born":9})";
-    CHECK(isTaken(announcement(whole)));
+    CHECK(isAccepted(announcement(valid)));
     const char *const wrong[] = {
             "",
             "[]",
@@ -148,14 +148,14 @@
     };
     for (const char *body : wrong) {
         CAPTURE(body);
-        CHECK_FALSE(isTaken(announcement(body)));
+        CHECK_FALSE(isAccepted(announcement(body)));
     }
-    Net::HttpRequest elsewhere = announcement(whole);
+    Net::HttpRequest elsewhere = announcement(valid);
     elsewhere.path = "/instances/";
-    CHECK_FALSE(isTaken(elsewhere));
+    CHECK_FALSE(isAccepted(elsewhere));
     elsewhere.path = "/instances/i-1";
     elsewhere.method = "POST";
-    CHECK_FALSE(isTaken(elsewhere));
+    CHECK_FALSE(isAccepted(elsewhere));
     elsewhere.method = "DELETE";
-    CHECK(isTaken(elsewhere));
+    CHECK(isAccepted(elsewhere));
 }
--- a/Source/UnitTests/Platform/CallerCallsTest.cpp
+++ b/Source/UnitTests/Platform/CallerCallsTest.cpp
@@ -117,14 +117,14 @@
     struct Row
     {
         const char *text;
-        std::int64_t patienceMs;
+        std::int64_t remainingTimeoutMs;
     };
     for (const Row &row : {Row{"1800", 1800}, Row{"0", 0}, Row{"-5", -1}, Row{"soon", -1},
                            Row{"12x", -1}, Row{"", -1}}) {
         CAPTURE(row.text);
         Net::HttpRequest request;
         request.headers["x-auburntrail-deadline-ms"] = row.text;
-        CHECK(Platform::callerPatienceMs(request).value_or(-1) == row.patienceMs);
+        CHECK(Platform::callerPatienceMs(request).value_or(-1) == row.remainingTimeoutMs);
     }
     CHECK_FALSE(Platform::callerPatienceMs({}).has_value());
 }
--- a/Source/UnitTests/Platform/DaemonsTest.cpp
+++ b/Source/UnitTests/Platform/DaemonsTest.cpp
@@ -18,13 +18,13 @@
     return "127.0.0.1:" + std::to_string(port);
 }
 
-/// Looks until \a holds. False after a generous time.
-bool waitFor(const std::function<bool()> &holds)
+/// Looks until \a condition. False after a generous time.
+bool waitFor(const std::function<bool()> &condition)
 {
     constexpr int Rounds = 3000;
     constexpr std::chrono::milliseconds Pause{10};
     for (int round = 0; round < Rounds; ++round) {
-        if (holds()) {
+        if (condition()) {
             return true;
         }
         std::this_thread::sleep_for(Pause);
@@ -72,7 +72,7 @@
         settings.leaseMs = 700;
         settings.stopTimeoutMs = 20'000;
         this->gateway = Gateway::TransientDaemonBuilder().settings(settings).build();
-        this->gatewayThread = std::thread([this] { this->stoppedWell = this->gateway->run(); });
+        this->gatewayThread = std::thread([this] { this->stoppedCleanly = this->gateway->run(); });
     }
 
     void startAgent()
@@ -151,7 +151,7 @@
     std::unique_ptr<Runner::RunnerDaemon> agent;
     std::thread gatewayThread;
     std::thread agentThread;
-    bool stoppedWell = false;
+    bool stoppedCleanly = false;
 };
 
 } // namespace
@@ -228,7 +228,7 @@
     caller.join();
     CHECK(result.status == 200);
     site.stopGateway();
-    CHECK(site.stoppedWell);
+    CHECK(site.stoppedCleanly);
 }
 
 TEST_CASE("A gateway whose work has ended refuses what it is asked until it is gone")
@@ -238,7 +238,7 @@
     Site site;
     REQUIRE(site.serves());
     site.stopGateway();
-    REQUIRE(site.stoppedWell);
+    REQUIRE(site.stoppedCleanly);
     const auto result = site.call("POST", std::string("/checks/") + Job, Site::shortJob());
     CHECK(result.transport == Net::HttpTransport::Answered);
     CHECK(result.status == 503);
--- a/Source/UnitTests/Platform/FakePlatform.cpp
+++ b/Source/UnitTests/Platform/FakePlatform.cpp
@@ -17,9 +17,9 @@
 constexpr std::size_t OffsetBytes = 8;
 constexpr unsigned BitsPerByte = 8;
 /// Longer than any caller waits for an answer.
-constexpr std::chrono::seconds Never{8};
+constexpr std::chrono::seconds UnansweredDelay{8};
 /// Every so many orders or calls meet the fault that strikes some of them.
-constexpr int StruckShare = 4;
+constexpr int CallsPerFault = 4;
 
 std::int64_t nowMs()
 {
@@ -53,13 +53,13 @@
     return value;
 }
 
-std::string wireTask(const std::string &task)
+std::string toPlatformTask(const std::string &task)
 {
     const std::size_t end = task.find('.');
     return task.substr(0, end) + ".0" + task.substr(end);
 }
 
-std::string ownTask(const std::string &task)
+std::string fromPlatformTask(const std::string &task)
 {
     const std::size_t end = task.find('.');
     return task.substr(0, end) + task.substr(task.find('.', end + 1));
@@ -100,11 +100,12 @@
               {"active", Json::array()},
               {"ended", Json::array()}};
     for (const Transient::ActiveRun &run : seen.active) {
-        body["active"].push_back(Json::array({wireTask(run.task), run.number, "", run.percent, 0}));
+        body["active"].push_back(
+                Json::array({toPlatformTask(run.task), run.number, "", run.percent, 0}));
     }
     for (const Transient::EndedRun &run : seen.ended) {
-        body["ended"].push_back(
-                Json::array({run.position, wireTask(run.task), run.number, endName(run.end), ""}));
+        body["ended"].push_back(Json::array(
+                {run.position, toPlatformTask(run.task), run.number, endName(run.end), ""}));
     }
     return body;
 }
@@ -157,13 +158,13 @@
     }
 }
 
-void Store::hideGateways()
+void Store::dropGatewayRecords()
 {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    this->hidesGateways = true;
+    this->dropsGatewayRecords = true;
 }
 
-void Store::forget()
+void Store::dropHistory()
 {
     const std::lock_guard<std::mutex> lock(this->mutex);
     for (auto &[name, topic] : this->topics) {
@@ -198,20 +199,20 @@
 void Store::answer(const Net::HttpRequest &request, const Net::HttpReply &reply)
 {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    const bool isStruck = ++this->callCount % StruckShare == 0;
+    const bool isAffected = ++this->callCount % CallsPerFault == 0;
     if (this->faults.count(StoreFault::Silent) > 0) {
-        this->timers.after(Never, [reply] { reply.send({}); });
+        this->timers.after(UnansweredDelay, [reply] { reply.send({}); });
         return;
     }
     if (this->faults.count(StoreFault::Refusing) > 0) {
         reply.send(json(503, Json::object()));
         return;
     }
-    if (isStruck && this->faults.count(StoreFault::LosingAnswers) > 0) {
+    if (isAffected && this->faults.count(StoreFault::LosingAnswers) > 0) {
         if (request.path == "/log-append") {
             this->appendAll(request.query.at("topic"), request.body);
         }
-        this->timers.after(Never, [reply] { reply.send({}); });
+        this->timers.after(UnansweredDelay, [reply] { reply.send({}); });
         return;
     }
     if (this->faults.count(StoreFault::Slow) > 0) {
@@ -242,7 +243,7 @@
 
 void Store::append(const std::string &name, const std::string &key, const std::string &value)
 {
-    if (name == GatewaysTopic && this->hidesGateways) {
+    if (name == GatewaysTopic && this->dropsGatewayRecords) {
         return;
     }
     Topic &topic = this->topics[name];
@@ -342,10 +343,10 @@
 BackendServer::BackendServer(BackendOptions chosen)
     : options(std::move(chosen))
 {
-    this->passedMs = nowMs();
+    this->advancedToMs = nowMs();
     this->model.startedAtMs = Common::currentMoment().wallMs;
     // Its clock starts near zero, whatever the machine's does.
-    this->model.clockOffsetMs = -TransientSite::clockOf(this->model, this->passedMs);
+    this->model.clockOffsetMs = -TransientSite::clockOf(this->model, this->advancedToMs);
     this->server =
             Net::HttpServerBuilder()
                     .listenOn("127.0.0.1", this->options.port)
@@ -393,7 +394,7 @@
     return result.transport == Net::HttpTransport::Answered && result.status == 200;
 }
 
-void BackendServer::sayGone(const std::string &registration)
+void BackendServer::announceEnd(const std::string &registration)
 {
     Net::HttpClient client(1);
     Net::HttpCall call;
@@ -406,7 +407,7 @@
 void BackendServer::setFault(BackendFault fault, bool on)
 {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    this->passTime();
+    this->advanceModel();
     if (on) {
         this->faults.insert(fault);
     } else {
@@ -425,7 +426,7 @@
 std::size_t BackendServer::running()
 {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    this->passTime();
+    this->advanceModel();
     return this->model.runs.size();
 }
 
@@ -438,8 +439,10 @@
 void BackendServer::answer(const Net::HttpRequest &request, const Net::HttpReply &reply)
 {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    const bool isStruck = ++this->orderCount % StruckShare == 0;
-    const auto never = [this, reply] { this->timers.after(Never, [reply] { reply.send({}); }); };
+    const bool isAffected = ++this->orderCount % CallsPerFault == 0;
+    const auto never = [this, reply] {
+        this->timers.after(UnansweredDelay, [reply] { reply.send({}); });
+    };
     if (this->has(BackendFault::Silent)) {
         never();
         return;
@@ -449,11 +452,11 @@
         return;
     }
     const bool isLate = this->has(BackendFault::Late) || this->has(BackendFault::LateWithNewLease);
-    if (isStruck && isLate) {
-        constexpr std::int64_t ShortestMs = 300;
-        constexpr std::int64_t SpreadMs = 5700;
-        constexpr std::int64_t StepMs = 997;
-        const std::int64_t lateMs = ShortestMs + this->orderCount * StepMs % SpreadMs;
+    if (isAffected && isLate) {
+        constexpr std::int64_t MinDelayMs = 300;
+        constexpr std::int64_t DelayRangeMs = 5700;
+        constexpr std::int64_t DelayStepMs = 997;
+        const std::int64_t lateMs = MinDelayMs + this->orderCount * DelayStepMs % DelayRangeMs;
         const Lateness late{lateMs, this->has(BackendFault::LateWithNewLease)};
         this->timers.after(std::chrono::milliseconds(lateMs), [this, request, reply, late] {
             const std::lock_guard<std::mutex> later(this->mutex);
@@ -461,7 +464,7 @@
         });
         return;
     }
-    if (isStruck && this->has(BackendFault::LosingAnswers) && request.path != "/hold") {
+    if (isAffected && this->has(BackendFault::LosingAnswers) && request.path != "/hold") {
         if (request.path == "/run-start") {
             this->start(request.body, {});
         } else {
@@ -487,10 +490,10 @@
 
 Net::HttpResponse BackendServer::start(const std::string &text, const Lateness &late)
 {
-    this->passTime();
+    this->advanceModel();
     const Json body = Json::parse(text);
     Transient::RunStart start;
-    start.task = ownTask(body.at("task").get<std::string>());
+    start.task = fromPlatformTask(body.at("task").get<std::string>());
     start.number = body.at("runId").get<std::int64_t>();
     start.fence = body.at("fencingToken").get<std::int64_t>();
     start.payload = body.at("spec").get<std::string>();
@@ -513,9 +516,9 @@
 
 Net::HttpResponse BackendServer::stop(const std::string &text)
 {
-    this->passTime();
+    this->advanceModel();
     const Json body = Json::parse(text);
-    TransientSite::applyStop(this->model, ownTask(body.at("task").get<std::string>()),
+    TransientSite::applyStop(this->model, fromPlatformTask(body.at("task").get<std::string>()),
                              body.at("runId").get<std::int64_t>(),
                              body.at("fencingToken").get<std::int64_t>(), nowMs());
     return json(200, Json{{"clockMs", TransientSite::clockOf(this->model, nowMs())}});
@@ -523,7 +526,7 @@
 
 void BackendServer::observe(const std::string &text, const Net::HttpReply &reply)
 {
-    this->passTime();
+    this->advanceModel();
     const Json body = Json::parse(text);
     const Waiting observation{body.at("fencingToken").get<std::int64_t>(),
                               body.at("lastSeen").get<std::int64_t>(),
@@ -541,8 +544,8 @@
         observation.reply.send(json(409, Json{{"reason", "fence"}}));
         return true;
     }
-    const bool hasNews = TransientSite::hasNews(this->model, observation.lastEnd);
-    if (!hasNews && nowMs() < observation.untilMs) {
+    const bool hasNewEnds = TransientSite::hasNewEnds(this->model, observation.lastEnd);
+    if (!hasNewEnds && nowMs() < observation.untilMs) {
         return false;
     }
     const auto answer = TransientSite::applyObserve(this->model, observation.fence,
@@ -553,49 +556,49 @@
 
 void BackendServer::tick()
 {
-    constexpr std::chrono::milliseconds LookAgain{4};
+    constexpr std::chrono::milliseconds TickInterval{4};
     {
         const std::lock_guard<std::mutex> lock(this->mutex);
-        this->passTime();
+        this->advanceModel();
         const auto done = [this](const Waiting &entry) { return this->answerObservation(entry); };
         this->waiting.erase(std::remove_if(this->waiting.begin(), this->waiting.end(), done),
                             this->waiting.end());
     }
-    this->timers.after(LookAgain, [this] { this->tick(); });
+    this->timers.after(TickInterval, [this] { this->tick(); });
 }
 
 /// Ends runs at their own times, however late this is called: a run whose lease lapsed does not
 /// count as running until somebody looked.
-void BackendServer::passTime()
+void BackendServer::advanceModel()
 {
     const std::int64_t now = nowMs();
     if (this->has(BackendFault::Hanging)) {
-        this->stretchRuns(now - this->passedMs);
+        this->delayRuns(now - this->advancedToMs);
     }
-    this->passedMs = now;
+    this->advancedToMs = now;
     std::map<std::pair<std::string, std::int64_t>, std::int64_t> dueMs;
     for (const TransientSite::ModelRun &run : this->model.runs) {
         dueMs[{run.task, run.number}] = run.endsMs;
     }
-    constexpr std::int64_t ClockShare = 50;
+    constexpr std::int64_t ClockDriftDivisor = 50;
     const std::int64_t leftMs = this->model.leaseUntilMs - TransientSite::clockOf(this->model, now);
-    const std::int64_t lapseMs = now + leftMs * ClockShare / (ClockShare - 1);
+    const std::int64_t lapseMs = now + leftMs * ClockDriftDivisor / (ClockDriftDivisor - 1);
     if (lapseMs < now) {
         TransientSite::advance(this->model, lapseMs + 1);
     }
     TransientSite::advance(this->model, now);
     for (const TransientSite::ModelEnd &end : this->model.ends) {
-        if (end.position <= this->toldEnd) {
+        if (end.position <= this->lastReportedEnd) {
             continue;
         }
-        this->toldEnd = end.position;
+        this->lastReportedEnd = end.position;
         const bool hasLapsed = end.end == Transient::RunEnd::LeaseLapsed;
         const std::int64_t atMs = hasLapsed ? lapseMs : dueMs[{end.task, end.number}];
         this->options.ran({std::min(atMs, now), end.task, end.number, end.end, false});
     }
 }
 
-void BackendServer::stretchRuns(std::int64_t byMs)
+void BackendServer::delayRuns(std::int64_t byMs)
 {
     for (TransientSite::ModelRun &run : this->model.runs) {
         const bool isStopping = run.startedMs < 0;
@@ -612,7 +615,7 @@
             .dump();
 }
 
-std::string patienceHeader(std::int64_t ms)
+std::string remainingTimeoutHeader(std::int64_t ms)
 {
     return "X-Auburntrail-Deadline-Ms: " + std::to_string(ms);
 }
--- a/Source/UnitTests/Platform/FakePlatform.h
+++ b/Source/UnitTests/Platform/FakePlatform.h
@@ -42,9 +42,9 @@
     void setSilent(bool silent);
     void setFault(StoreFault fault, bool on);
     /// From now on takes no address of a gateway in, though it says so.
-    void hideGateways();
+    void dropGatewayRecords();
     /// Drops the history; the newest record of each key stays.
-    void forget();
+    void dropHistory();
     int writes() const;
     void setLearned(const std::string &key, const std::string &value);
     /// Empty where nobody has written it.
@@ -82,7 +82,7 @@
     std::map<std::uint64_t, Reader> readers;
     std::uint64_t lastReader = 0;
     std::set<StoreFault> faults;
-    bool hidesGateways = false;
+    bool dropsGatewayRecords = false;
     int writeCount = 0;
     int callCount = 0;
     Common::TimerThread timers;
@@ -148,7 +148,7 @@
     /// Tells the agent at \a registration of itself. False where it does not acknowledge.
     bool announce(const std::string &registration, const std::string &service, bool leaving);
     /// Tells the agent that it ends.
-    void sayGone(const std::string &registration);
+    void announceEnd(const std::string &registration);
     void setFault(BackendFault fault, bool on);
     std::size_t running();
     int starts();
@@ -179,8 +179,8 @@
     void observe(const std::string &body, const Net::HttpReply &reply);
     bool answerObservation(const Waiting &waiting);
     void tick();
-    void passTime();
-    void stretchRuns(std::int64_t byMs);
+    void advanceModel();
+    void delayRuns(std::int64_t byMs);
     bool has(BackendFault fault) const;
 
     BackendOptions options;
@@ -188,8 +188,8 @@
     TransientSite::ModelBackend model;
     std::set<BackendFault> faults;
     std::vector<Waiting> waiting;
-    std::int64_t toldEnd = 0;
-    std::int64_t passedMs = 0;
+    std::int64_t lastReportedEnd = 0;
+    std::int64_t advancedToMs = 0;
     int startCount = 0;
     int orderCount = 0;
     std::int64_t sequence = 0;
@@ -207,7 +207,7 @@
 
 std::string jobBody(const CallerJob &job);
 /// A header line that tells how long the caller waits.
-std::string patienceHeader(std::int64_t ms);
+std::string remainingTimeoutHeader(std::int64_t ms);
 
 struct QueueRoute
 {
--- a/Source/UnitTests/PropertyCheck.h
+++ b/Source/UnitTests/PropertyCheck.h
@@ -21,10 +21,10 @@
     int maxSize = 60;
 };
 
-inline std::uint64_t numberFrom(const char *variable, std::uint64_t usual)
+inline std::uint64_t readNumberVariable(const char *variable, std::uint64_t defaultValue)
 {
     const char *text = std::getenv(variable);
-    return text == nullptr ? usual : std::strtoull(text, nullptr, 10);
+    return text == nullptr ? defaultValue : std::strtoull(text, nullptr, 10);
 }
 
 /// What a property test does next, and two numbers that say to whom and how much.
@@ -45,17 +45,18 @@
 template <typename Kind>
 rc::Gen<Command<Kind>> anyCommand(const rc::Gen<Kind> &kind)
 {
-    using Made = Command<Kind>;
+    using BuiltCommand = Command<Kind>;
     constexpr unsigned Range = 1'000;
-    return rc::gen::build<Made>(rc::gen::set(&Made::kind, kind),
-                                rc::gen::set(&Made::first, rc::gen::inRange(0U, Range)),
-                                rc::gen::set(&Made::second, rc::gen::inRange(0U, Range)));
+    return rc::gen::build<BuiltCommand>(
+            rc::gen::set(&BuiltCommand::kind, kind),
+            rc::gen::set(&BuiltCommand::first, rc::gen::inRange(0U, Range)),
+            rc::gen::set(&BuiltCommand::second, rc::gen::inRange(0U, Range)));
 }
 
 /// Leaves out whatever the commands break a promise without.
-template <typename Command, typename PromisesBroken>
-std::vector<Command> shortest(std::vector<Command> commands, std::uint64_t seed,
-                              PromisesBroken promisesBroken)
+template <typename Command, typename FindViolations>
+std::vector<Command> shrinkCommands(std::vector<Command> commands, std::uint64_t seed,
+                                    FindViolations findViolations)
 {
     for (std::size_t length = commands.size(); length > 0;) {
         bool isShorter = false;
@@ -63,7 +64,7 @@
             std::vector<Command> fewer = commands;
             const auto first = fewer.begin() + static_cast<std::ptrdiff_t>(from);
             fewer.erase(first, first + static_cast<std::ptrdiff_t>(length));
-            if (promisesBroken(fewer, seed).empty()) {
+            if (findViolations(fewer, seed).empty()) {
                 from += length;
             } else {
                 commands = std::move(fewer);
@@ -75,39 +76,39 @@
     return commands;
 }
 
-/// \a promisesBroken plays commands with a seed and tells what broke, or nothing; \a tellStory
+/// \a findViolations plays commands with a seed and tells what broke, or nothing; \a printTrace
 /// writes down what happens when they are played.
-template <typename Command, typename PromisesBroken, typename TellStory>
-void check(const Search &search, const rc::Gen<Command> &anyCommand, PromisesBroken promisesBroken,
-           TellStory tellStory)
+template <typename Command, typename FindViolations, typename PrintTrace>
+void check(const Search &search, const rc::Gen<Command> &anyCommand, FindViolations findViolations,
+           PrintTrace printTrace)
 {
     constexpr std::size_t Commands = 60;
     rc::detail::TestParams parameters;
-    parameters.seed = numberFrom("AUBURNTRAIL_PROPERTY_SEED", 1);
-    parameters.maxSuccess = static_cast<int>(
-            numberFrom("AUBURNTRAIL_PROPERTY_RUNS", static_cast<std::uint64_t>(search.runs)));
+    parameters.seed = readNumberVariable("AUBURNTRAIL_PROPERTY_SEED", 1);
+    parameters.maxSuccess = static_cast<int>(readNumberVariable(
+            "AUBURNTRAIL_PROPERTY_RUNS", static_cast<std::uint64_t>(search.runs)));
     parameters.maxSize = search.maxSize;
     // The library shrinks the numbers of the commands as well, which takes too long here.
     parameters.disableShrinking = true;
-    bool isTold = false;
+    bool isReported = false;
     const auto property = [&] {
         const auto commands = *rc::gen::container<std::vector<Command>>(Commands, anyCommand);
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
-        const std::string broken = promisesBroken(commands, seed);
-        if (!broken.empty() && !isTold) {
-            isTold = true;
+        const std::string violations = findViolations(commands, seed);
+        if (!violations.empty() && !isReported) {
+            isReported = true;
             // At once: a search that is cut off while it shrinks has then still told what it found.
-            std::cerr << "seed " << seed << ": " << broken << '\n';
-            const std::vector<Command> fewest = shortest(commands, seed, promisesBroken);
+            std::cerr << "seed " << seed << ": " << violations << '\n';
+            const std::vector<Command> shrunk = shrinkCommands(commands, seed, findViolations);
             std::cerr << "shortest list:";
-            for (const Command &command : fewest) {
+            for (const Command &command : shrunk) {
                 std::cerr << ' ' << command;
             }
             std::cerr << '\n';
-            tellStory(fewest, seed);
+            printTrace(shrunk, seed);
         }
-        RC_LOG(broken);
-        RC_ASSERT(broken.empty());
+        RC_LOG(violations);
+        RC_ASSERT(violations.empty());
     };
     const rc::detail::TestMetadata metadata{search.name, "Random commands break no promise"};
     const rc::detail::TestResult result = rc::detail::checkTestable(property, metadata, parameters);
@@ -117,10 +118,10 @@
     CHECK(result.template is<rc::detail::SuccessResult>());
 }
 
-template <typename Command, typename PromisesBroken>
-void check(const Search &search, const rc::Gen<Command> &anyCommand, PromisesBroken promisesBroken)
+template <typename Command, typename FindViolations>
+void check(const Search &search, const rc::Gen<Command> &anyCommand, FindViolations findViolations)
 {
-    check(search, anyCommand, promisesBroken, [](const std::vector<Command> &, std::uint64_t) {});
+    check(search, anyCommand, findViolations, [](const std::vector<Command> &, std::uint64_t) {});
 }
 
 } // namespace PropertyCheck
--- a/Source/UnitTests/Transient/BackendReplayTest.cpp
+++ b/Source/UnitTests/Transient/BackendReplayTest.cpp
@@ -12,7 +12,7 @@
 constexpr int Gateways = 3;
 constexpr int Agents = 4;
 constexpr std::int64_t SettleMs = 1000;
-constexpr std::int64_t LastAnswersMs = 4000;
+constexpr std::int64_t AnswerWaitMs = 4000;
 
 /// Targets are 1.6 times the work of a backend server of speed 1, and 60 ms.
 constexpr OfferedWork Usual{{100, 1, false}, 4, 220};
@@ -53,8 +53,8 @@
     const std::size_t first = world->callers.size();
     world->backends[0].speed = Standstill;
     offer(*world, Usual, capacity, 0.4, 3000);
-    runFor(*world, LastAnswersMs);
-    return judge(*world, Usual, first);
+    runFor(*world, AnswerWaitMs);
+    return countOutcomes(*world, Usual, first);
 }
 
 /// Long jobs fill the backend servers, and short urgent ones come with them.
@@ -73,8 +73,8 @@
         const double load = 2 * Load * (isShort ? ShortShare : 1 - ShortShare);
         offer(*world, isShort ? Short : Long, capacity, load, 1);
     }
-    runFor(*world, LastAnswersMs);
-    return judge(*world, Short, 0);
+    runFor(*world, AnswerWaitMs);
+    return countOutcomes(*world, Short, 0);
 }
 
 using Replay = std::function<Outcome(const SwitchOff &, std::uint64_t)>;
@@ -91,7 +91,7 @@
         Replay replay;
         SwitchOff without;
         /// Of those who asked, in time.
-        double leastShare;
+        double minShare;
     };
     const Row rows[] = {
             {"everything stands still on a backend server", replayStandstill,
@@ -105,12 +105,12 @@
     };
     for (const Row &row : rows) {
         CAPTURE(row.what);
-        const Outcome with = total(row.replay, SwitchOff([](World &) {}));
-        const Outcome without = total(row.replay, row.without);
-        MESSAGE(row.what << ": of " << with.asked << " in time " << with.inTime << ", late "
-                         << with.late << "; without: of " << without.asked << " in time "
+        const Outcome with = sumOverSeeds(row.replay, SwitchOff([](World &) {}));
+        const Outcome without = sumOverSeeds(row.replay, row.without);
+        MESSAGE(row.what << ": of " << with.submitted << " in time " << with.inTime << ", late "
+                         << with.late << "; without: of " << without.submitted << " in time "
                          << without.inTime << ", late " << without.late);
-        CHECK(with.inTime >= row.leastShare * with.asked);
-        CHECK(without.inTime < row.leastShare * without.asked);
+        CHECK(with.inTime >= row.minShare * with.submitted);
+        CHECK(without.inTime < row.minShare * without.submitted);
     }
 }
--- a/Source/UnitTests/Transient/DecisionTest.cpp
+++ b/Source/UnitTests/Transient/DecisionTest.cpp
@@ -79,13 +79,13 @@
     struct Row
     {
         std::int64_t version;
-        bool taken;
+        bool accepted;
         std::int64_t after;
     };
     for (const Row &row : {Row{5, true, 5}, Row{4, false, 5}, Row{5, false, 5}, Row{9, true, 9}}) {
         Schema::QueueTable newer;
         newer.version = row.version;
-        CHECK(takeQueues(inForce, newer) == row.taken);
+        CHECK(takeQueues(inForce, newer) == row.accepted);
         CHECK(inForce.version == row.after);
     }
 }
@@ -202,11 +202,11 @@
     struct Row
     {
         std::size_t gateways;
-        std::int64_t pauseMs;
+        std::int64_t intervalMs;
     };
     for (const Row &row : {Row{0, 25}, Row{1, 25}, Row{4, 25}, Row{12, 75}, Row{18, 112}}) {
         CAPTURE(row.gateways);
-        CHECK(Runner::loadReportIntervalMs(row.gateways) == row.pauseMs);
+        CHECK(Runner::loadReportIntervalMs(row.gateways) == row.intervalMs);
     }
 }
 
--- a/Source/UnitTests/Transient/JobsTest.cpp
+++ b/Source/UnitTests/Transient/JobsTest.cpp
@@ -200,7 +200,7 @@
         if (row.isAnswered) {
             site.report("job.0.0", 1, AttemptPhase::Running, 5);
         }
-        const std::int64_t heardMs = site.state.fleet.agents.at("agent").loadAtMs;
+        const std::int64_t loadReceivedMs = site.state.fleet.agents.at("agent").loadAtMs;
         handleAgentDisconnected(site.state, "agent-1", at(100));
         Schema::AgentAnnouncement other;
         other.instance = "other-1";
@@ -210,7 +210,7 @@
         other.resources.processors = 8;
         other.resources.memoryMb = 1000;
         CHECK(orderedTasks(agentAnnounced(site.state, other, at(110), site.random)).empty());
-        const std::int64_t settledMs = heardMs + row.settledMs;
+        const std::int64_t settledMs = loadReceivedMs + row.settledMs;
         for (std::int64_t nowMs = 150; nowMs < settledMs; nowMs += 50) {
             CHECK(orderedTasks(tick(site.state, at(nowMs), site.random)).empty());
         }
@@ -246,13 +246,13 @@
 {
     Fixture site;
     jobSubmitted(site.state, site.submission("job", {stepOf(1)}), at(1), site.random);
-    Schema::AgentAnnouncement reborn = site.state.fleet.agents.at("agent").announced;
-    reborn.instance = "agent-2";
-    reborn.clean = false;
+    Schema::AgentAnnouncement restarted = site.state.fleet.agents.at("agent").announced;
+    restarted.instance = "agent-2";
+    restarted.clean = false;
     // It has not yet looked at what runs.
-    CHECK(orderedTasks(agentAnnounced(site.state, reborn, at(40), site.random)).empty());
-    reborn.clean = true;
-    CHECK(orderedTasks(agentAnnounced(site.state, reborn, at(50), site.random))
+    CHECK(orderedTasks(agentAnnounced(site.state, restarted, at(40), site.random)).empty());
+    restarted.clean = true;
+    CHECK(orderedTasks(agentAnnounced(site.state, restarted, at(50), site.random))
           == Names{"job.0.0#2"});
 }
 
--- a/Source/UnitTests/Transient/LearnedTest.cpp
+++ b/Source/UnitTests/Transient/LearnedTest.cpp
@@ -30,7 +30,7 @@
 }
 
 /// A gateway that has seen the backend server "slow" take three times as long as "fast".
-GatewayState experienced()
+GatewayState makeExperiencedGateway()
 {
     GatewayState state;
     Common::Random random{1};
@@ -53,7 +53,7 @@
 
 TEST_CASE("What one gateway has learned another one starts with")
 {
-    GatewayState before = experienced();
+    GatewayState before = makeExperiencedGateway();
     const Schema::LearnedTimes learned = learnedTimes(before, "gateway-1", at(5000));
     struct Row
     {
@@ -92,7 +92,7 @@
 
 TEST_CASE("What a gateway knows by itself stands, and senseless records change nothing")
 {
-    GatewayState state = experienced();
+    GatewayState state = makeExperiencedGateway();
     const Schema::LearnedTimes own = learnedTimes(state, "gateway-1", at(5000));
     Schema::LearnedTimes foreign = own;
     foreign.profiles[0].meanMs = -5;
@@ -115,7 +115,7 @@
 {
     // A gateway that was removed for good has left its record behind: it tells of a time when the
     // backend server was fast. Another one has since learned that it is slow.
-    const GatewayState experience = experienced();
+    const GatewayState experience = makeExperiencedGateway();
     const Schema::LearnedTimes newer = learnedTimes(experience, "gateway-1", at(5000));
     Schema::LearnedTimes older = newer;
     older.writtenMs = 1000;
@@ -163,14 +163,14 @@
     struct Row
     {
         std::int64_t remainingTimeoutMs;
-        std::int64_t leastMs;
-        std::int64_t mostMs;
+        std::int64_t minMs;
+        std::int64_t maxMs;
     };
     for (const Row &row :
          {Row{2400, 0, 0}, Row{1800, 0, 0}, Row{1000, 650, 900}, Row{400, 1250, 1500}}) {
         CAPTURE(row.remainingTimeoutMs);
-        CHECK(waitedBeforeMs(usual, row.remainingTimeoutMs) >= row.leastMs);
-        CHECK(waitedBeforeMs(usual, row.remainingTimeoutMs) <= row.mostMs);
+        CHECK(waitedBeforeMs(usual, row.remainingTimeoutMs) >= row.minMs);
+        CHECK(waitedBeforeMs(usual, row.remainingTimeoutMs) <= row.maxMs);
     }
     for (int caller = 0; caller < 100; ++caller) {
         observeRemainingTimeout(usual, 1000);
--- a/Source/UnitTests/Transient/LoadReplay.cpp
+++ b/Source/UnitTests/Transient/LoadReplay.cpp
@@ -30,17 +30,17 @@
     }
 }
 
-Outcome judge(const World &world, const OfferedWork &offered, std::size_t first,
-              std::int64_t leastPatienceMs)
+Outcome countOutcomes(const World &world, const OfferedWork &offered, std::size_t first,
+                      std::int64_t minRemainingTimeoutMs)
 {
     Outcome outcome;
     for (std::size_t number = first; number < world.callers.size(); ++number) {
         const Caller &caller = world.callers[number];
-        if (caller.remainingTimeoutMs < leastPatienceMs
+        if (caller.remainingTimeoutMs < minRemainingTimeoutMs
             || caller.work.runMs != offered.work.runMs) {
             continue;
         }
-        ++outcome.asked;
+        ++outcome.submitted;
         if (!caller.isAnswered || caller.result.outcome != Transient::JobOutcome::Succeeded) {
             continue;
         }
--- a/Source/UnitTests/Transient/LoadReplay.h
+++ b/Source/UnitTests/Transient/LoadReplay.h
@@ -17,7 +17,7 @@
 
 struct Outcome
 {
-    int asked = 0;
+    int submitted = 0;
     int inTime = 0;
     int late = 0;
 };
@@ -30,18 +30,18 @@
            std::int64_t forMs);
 
 /// Of the callers from \a first on that ask for work like \a offered and had not waited before.
-Outcome judge(const World &world, const OfferedWork &offered, std::size_t first,
-              std::int64_t leastPatienceMs = 0);
+Outcome countOutcomes(const World &world, const OfferedWork &offered, std::size_t first,
+                      std::int64_t minRemainingTimeoutMs = 0);
 
-/// What \a replay gives with \a chosen, over eight seeds.
+/// What \a replay gives with \a options, over eight seeds.
 template <typename Replay, typename Chosen>
-Outcome total(const Replay &replay, const Chosen &chosen)
+Outcome sumOverSeeds(const Replay &replay, const Chosen &options)
 {
     constexpr std::uint64_t Seeds = 8;
     Outcome sum;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
-        const Outcome one = replay(chosen, seed);
-        sum.asked += one.asked;
+        const Outcome one = replay(options, seed);
+        sum.submitted += one.submitted;
         sum.inTime += one.inTime;
         sum.late += one.late;
     }
--- a/Source/UnitTests/Transient/LoadReplayTest.cpp
+++ b/Source/UnitTests/Transient/LoadReplayTest.cpp
@@ -37,13 +37,13 @@
     world->backends[1].speed /= 4;
     offer(*world, Jobs, Capacity, 0.9, 4000);
     runFor(*world, 4000);
-    return judge(*world, Jobs, first);
+    return countOutcomes(*world, Jobs, first);
 }
 
 /// All gateways are gone for a second; its callers come together with the fresh ones.
 Outcome replayReturn(const Transient::AdmissionLimits &limits, std::uint64_t seed)
 {
-    constexpr std::int64_t PatienceLeftMs = 900;
+    constexpr std::int64_t RemainingTimeoutMs = 900;
     constexpr int Waiting = 120;
     auto world = makeWorld(seed, Gateways, Agents);
     runFor(*world, 1000);
@@ -67,14 +67,14 @@
     runFor(*world, 300);
     const std::size_t first = world->callers.size();
     for (int caller = 0; caller < Waiting; ++caller) {
-        submit(*world, caller % Gateways, Work, TasksPerJob, PatienceLeftMs);
+        submit(*world, caller % Gateways, Work, TasksPerJob, RemainingTimeoutMs);
         if (caller % 4 == 0) {
             runFor(*world, 5);
         }
     }
     offer(*world, Jobs, Capacity, 0.6, 1500);
     runFor(*world, 4000);
-    return judge(*world, Jobs, first, PatienceLeftMs + 1);
+    return countOutcomes(*world, Jobs, first, RemainingTimeoutMs + 1);
 }
 
 using Replay = std::function<Outcome(const Transient::AdmissionLimits &, std::uint64_t)>;
@@ -89,7 +89,7 @@
         Replay replay;
         Transient::AdmissionLimits without;
         /// Of those who asked, in time.
-        double leastShare;
+        double minShare;
     };
     Row rows[] = {{"backend servers turn slow under load", replaySlowdown, {}, 0.33},
                   {"callers return after an outage", replayReturn, {}, 0.96}};
@@ -97,12 +97,12 @@
     rows[1].without.countsWaiting = false;
     for (const Row &row : rows) {
         CAPTURE(row.what);
-        const Outcome with = total(row.replay, Transient::AdmissionLimits{});
-        const Outcome without = total(row.replay, row.without);
-        MESSAGE(row.what << ": of " << with.asked << " in time " << with.inTime << ", late "
-                         << with.late << "; without: of " << without.asked << " in time "
+        const Outcome with = sumOverSeeds(row.replay, Transient::AdmissionLimits{});
+        const Outcome without = sumOverSeeds(row.replay, row.without);
+        MESSAGE(row.what << ": of " << with.submitted << " in time " << with.inTime << ", late "
+                         << with.late << "; without: of " << without.submitted << " in time "
                          << without.inTime << ", late " << without.late);
-        CHECK(with.inTime >= row.leastShare * with.asked);
-        CHECK(without.inTime < row.leastShare * without.asked);
+        CHECK(with.inTime >= row.minShare * with.submitted);
+        CHECK(without.inTime < row.minShare * without.submitted);
     }
 }
--- a/Source/UnitTests/Transient/ModelBackend.cpp
+++ b/Source/UnitTests/Transient/ModelBackend.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::int64_t StopMs = 30;
-constexpr std::int64_t LongestLeaseMs = 1000;
+constexpr std::int64_t StopDurationMs = 30;
+constexpr std::int64_t MaxLeaseMs = 1000;
 
 void addEnd(ModelBackend &backend, const ModelRun &run, Transient::RunEnd end)
 {
@@ -28,8 +28,8 @@
 
 void renew(ModelBackend &backend, std::int64_t untilMs, std::int64_t nowMs)
 {
-    const std::int64_t most = clockOf(backend, nowMs) + LongestLeaseMs;
-    backend.leaseUntilMs = std::max(backend.leaseUntilMs, std::min(untilMs, most));
+    const std::int64_t latestMs = clockOf(backend, nowMs) + MaxLeaseMs;
+    backend.leaseUntilMs = std::max(backend.leaseUntilMs, std::min(untilMs, latestMs));
 }
 
 } // namespace
@@ -43,17 +43,17 @@
 ModelWork workOf(const std::string &payload)
 {
     ModelWork work;
-    std::string more;
+    std::string suffix;
     std::istringstream text(payload);
-    text >> work.runMs >> work.processors >> more;
-    work.fails = more == "fail";
+    text >> work.runMs >> work.processors >> suffix;
+    work.fails = suffix == "fail";
     return work;
 }
 
 std::int64_t clockOf(const ModelBackend &backend, std::int64_t nowMs)
 {
-    constexpr std::int64_t SlowBy = 50;
-    return backend.clockOffsetMs + nowMs - nowMs / SlowBy;
+    constexpr std::int64_t ClockDriftDivisor = 50;
+    return backend.clockOffsetMs + nowMs - nowMs / ClockDriftDivisor;
 }
 
 Transient::StartAnswer applyStart(ModelBackend &backend, const Transient::RunStart &start,
@@ -110,9 +110,9 @@
     std::int64_t &barred = backend.barred[task];
     barred = std::max(barred, number);
     for (ModelRun &run : backend.runs) {
-        if (run.task == task && run.number <= number && run.endsMs > nowMs + StopMs) {
+        if (run.task == task && run.number <= number && run.endsMs > nowMs + StopDurationMs) {
             // It ends as stopped: its work was not over.
-            run.endsMs = nowMs + StopMs;
+            run.endsMs = nowMs + StopDurationMs;
             run.startedMs = -1;
         }
     }
@@ -138,8 +138,8 @@
     answer.seen.clockMs = clockOf(backend, nowMs);
     answer.seen.startedAtMs = backend.startedAtMs;
     for (const ModelRun &run : backend.runs) {
-        const std::int64_t whole = std::max<std::int64_t>(1, run.endsMs - run.startedMs);
-        const auto percent = static_cast<int>((nowMs - run.startedMs) * 100 / whole);
+        const std::int64_t durationMs = std::max<std::int64_t>(1, run.endsMs - run.startedMs);
+        const auto percent = static_cast<int>((nowMs - run.startedMs) * 100 / durationMs);
         answer.seen.active.push_back({run.task, run.number, std::clamp(percent, 0, 99)});
     }
     for (const ModelEnd &end : backend.ends) {
@@ -148,7 +148,7 @@
     return answer;
 }
 
-bool hasNews(const ModelBackend &backend, std::int64_t lastEnd)
+bool hasNewEnds(const ModelBackend &backend, std::int64_t lastEnd)
 {
     return !backend.ends.empty() && backend.ends.back().position > lastEnd;
 }
@@ -159,7 +159,7 @@
         return;
     }
     const bool hasLapsed = clockOf(backend, nowMs) >= backend.leaseUntilMs;
-    std::vector<ModelRun> left;
+    std::vector<ModelRun> remaining;
     for (const ModelRun &run : backend.runs) {
         if (run.endsMs <= nowMs) {
             const Transient::RunEnd end = run.startedMs < 0 ? Transient::RunEnd::Stopped
@@ -169,10 +169,10 @@
         } else if (hasLapsed) {
             addEnd(backend, run, Transient::RunEnd::LeaseLapsed);
         } else {
-            left.push_back(run);
+            remaining.push_back(run);
         }
     }
-    backend.runs = std::move(left);
+    backend.runs = std::move(remaining);
 }
 
 void restart(ModelBackend &backend, std::int64_t nowMs)
--- a/Source/UnitTests/Transient/ModelBackend.h
+++ b/Source/UnitTests/Transient/ModelBackend.h
@@ -66,7 +66,7 @@
     bool isLeaving = false;
     BackendTrouble trouble;
     /// What the life before this one said last.
-    std::optional<Transient::BackendAnnouncement> formerLife;
+    std::optional<Transient::BackendAnnouncement> previousAnnouncement;
     std::int64_t startedAtMs = 1;
     std::int64_t clockOffsetMs = 0;
     std::int64_t leaseUntilMs = 0;
@@ -90,7 +90,7 @@
                                       std::int64_t lastEnd, std::int64_t leaseUntilMs,
                                       std::int64_t nowMs);
 /// True where it has ends that \a lastEnd does not cover.
-bool hasNews(const ModelBackend &backend, std::int64_t lastEnd);
+bool hasNewEnds(const ModelBackend &backend, std::int64_t lastEnd);
 
 /// Ends what is done and, where the lease has lapsed, everything.
 void advance(ModelBackend &backend, std::int64_t nowMs);
--- a/Source/UnitTests/Transient/PaceTest.cpp
+++ b/Source/UnitTests/Transient/PaceTest.cpp
@@ -168,17 +168,17 @@
         CAPTURE(row.what);
         RunnerState state = makeState(8);
         state.decisions.movesFromSlow = row.movesFromSlow;
-        Run still = running(200, row.percent);
-        still.attempt = row.attempt;
-        still.targetMs = row.targetMs;
-        constexpr int Still = 3;
-        for (int run = 0; run < Still; ++run) {
-            add(state, still);
+        Run stalled = running(200, row.percent);
+        stalled.attempt = row.attempt;
+        stalled.targetMs = row.targetMs;
+        constexpr int StalledRuns = 3;
+        for (int run = 0; run < StalledRuns; ++run) {
+            add(state, stalled);
         }
         addWaiting(state, Other, 200);
         updateSlowdown(state, at(1100));
         const Effects effects = moveFromSlow(state, at(1100));
-        CHECK(countPhase(state, RunPhase::Stopping) == (row.isStopped ? Still : 0));
+        CHECK(countPhase(state, RunPhase::Stopping) == (row.isStopped ? StalledRuns : 0));
         // What waits there has done nothing yet and is given back.
         CHECK(countPhase(state, RunPhase::Queued)
               == (row.movesFromSlow && row.percent == 0 ? 0 : 1));
@@ -193,22 +193,22 @@
 
 TEST_CASE("A start is given up by what its answers usually take")
 {
-    StartTimeout limit;
-    CHECK(startTimeoutMs(limit) == 150);
+    StartTimeout timeout;
+    CHECK(startTimeoutMs(timeout) == 150);
     for (int answer = 0; answer < 50; ++answer) {
-        recordStartAnswer(limit, 3);
+        recordStartAnswer(timeout, 3);
     }
-    CHECK(startTimeoutMs(limit) == 30);
+    CHECK(startTimeoutMs(timeout) == 30);
     // The agent's instance has turned slow: it must not go on giving up all that it starts.
     for (int start = 0; start < 6; ++start) {
-        recordStartUnanswered(limit);
+        recordStartUnanswered(timeout);
     }
-    CHECK(startTimeoutMs(limit) == 150);
+    CHECK(startTimeoutMs(timeout) == 150);
     for (int answer = 0; answer < 50; ++answer) {
-        recordStartAnswer(limit, answer % 2 == 0 ? 10 : 30);
+        recordStartAnswer(timeout, answer % 2 == 0 ? 10 : 30);
     }
-    CHECK(startTimeoutMs(limit) > 60);
-    CHECK(startTimeoutMs(limit) < 120);
+    CHECK(startTimeoutMs(timeout) > 60);
+    CHECK(startTimeoutMs(timeout) < 120);
 }
 
 TEST_CASE("Settings switch decisions of an agent off")
--- a/Source/UnitTests/Transient/RunnerTest.cpp
+++ b/Source/UnitTests/Transient/RunnerTest.cpp
@@ -70,7 +70,7 @@
     }
 
     /// An observation comes back that shows nothing at all.
-    void seenEmpty(std::uint64_t observation, std::int64_t nowMs)
+    void answerEmptyObservation(std::uint64_t observation, std::int64_t nowMs)
     {
         Transient::ObserveAnswer answer;
         answer.outcome = ObserveOutcome::Observed;
@@ -85,8 +85,8 @@
         const Effects effects = this->orderFrom(Gateway, task, nowMs);
         const auto start = lastOf<CallStart>(effects);
         REQUIRE(start.has_value());
-        if (const auto look = lastOf<CallObserve>(effects)) {
-            this->asked = look->observation;
+        if (const auto observeCall = lastOf<CallObserve>(effects)) {
+            this->requested = observeCall->observation;
         }
         return *start;
     }
@@ -107,11 +107,11 @@
     }
 
     /// The observation that followed the last order ends with \a outcome.
-    void lookFails(ObserveOutcome outcome, std::int64_t nowMs)
+    void failLastObservation(ObserveOutcome outcome, std::int64_t nowMs)
     {
         Transient::ObserveAnswer failed;
         failed.outcome = outcome;
-        observeAnswered(this->state, this->asked, failed, at(nowMs));
+        observeAnswered(this->state, this->requested, failed, at(nowMs));
     }
 
     void answer(const CallStart &start, std::int64_t nowMs)
@@ -124,7 +124,7 @@
 
     RunnerState state;
     std::int64_t sequence = 0;
-    std::uint64_t asked = 0;
+    std::uint64_t requested = 0;
 };
 
 /// Those under way fail, too.
@@ -139,8 +139,8 @@
 }
 
 /// Every observation of the time ends with \a outcome. Returns the last lease that was asked for.
-std::int64_t observeInVain(Fixture &site, ObserveOutcome outcome, std::int64_t fromMs,
-                           std::int64_t untilMs)
+std::int64_t failObservations(Fixture &site, ObserveOutcome outcome, std::int64_t fromMs,
+                              std::int64_t untilMs)
 {
     failPending(site, outcome, fromMs);
     std::int64_t leaseUntilMs = 0;
@@ -169,20 +169,20 @@
         const CallStart first = site.order("a.0.0", 10);
         site.answer(first, 12);
         const std::int64_t lapsingMs = outcome == ObserveOutcome::Refused ? 1450 : 720;
-        observeInVain(site, outcome, 20, lapsingMs);
+        failObservations(site, outcome, 20, lapsingMs);
         CHECK(site.isKnown(first.run));
         const CallStart second = site.order("b.0.0", lapsingMs);
-        observeInVain(site, outcome, lapsingMs + 10, lapsingMs + 100);
+        failObservations(site, outcome, lapsingMs + 10, lapsingMs + 100);
         CHECK(site.isKnown(second.run));
         CHECK(site.isKnown(first.run));
         // The first was under the lease that the second start may have granted, and no later one.
         // The second was never answered: it may be on its way for 12 s.
-        observeInVain(site, outcome, lapsingMs + 110, lapsingMs + 1700);
+        failObservations(site, outcome, lapsingMs + 110, lapsingMs + 1700);
         CHECK_FALSE(site.isKnown(first.run));
         CHECK(site.isKnown(second.run));
-        observeInVain(site, outcome, lapsingMs + 1700, lapsingMs + 12'000);
+        failObservations(site, outcome, lapsingMs + 1700, lapsingMs + 12'000);
         CHECK(site.isKnown(second.run));
-        observeInVain(site, outcome, lapsingMs + 12'000, lapsingMs + 15'000);
+        failObservations(site, outcome, lapsingMs + 12'000, lapsingMs + 15'000);
         CHECK_FALSE(site.isKnown(second.run));
     }
 }
@@ -195,7 +195,7 @@
     const CallStart start = site.order("a.0.0", 10);
     site.answer(start, 12);
     const std::int64_t leaseUntilMs =
-            observeInVain(site, ObserveOutcome::Unanswered, 20, 20 + 3 * LeaseMs);
+            failObservations(site, ObserveOutcome::Unanswered, 20, 20 + 3 * LeaseMs);
     CHECK_FALSE(site.isKnown(start.run));
     CHECK(leaseUntilMs <= 12 + 2 * (LeaseMs + LeaseMs / 25));
     CHECK_FALSE(site.state.isBackendResponsive);
@@ -211,17 +211,17 @@
     //   event=backend_lost why=unanswered answered_ms_ago=7282
     //   event=run_ended attempt=1 waited_ms=4 phase=stopped reason=backend_lost run_ms=0
     //   event=stray_run_stopped run=1 percent=14
-    constexpr std::int64_t QuietMs = 7282;
+    constexpr std::int64_t IdleMs = 7282;
     for (const bool isStartAnswered : {false, true}) {
         CAPTURE(isStartAnswered);
         Fixture site;
-        const CallStart start = site.order("a.0.0", QuietMs);
+        const CallStart start = site.order("a.0.0", IdleMs);
         if (isStartAnswered) {
-            site.answer(start, QuietMs + 1);
+            site.answer(start, IdleMs + 1);
         }
-        site.lookFails(ObserveOutcome::Unanswered, QuietMs + 3);
+        site.failLastObservation(ObserveOutcome::Unanswered, IdleMs + 3);
         CHECK(site.isKnown(start.run));
-        observeInVain(site, ObserveOutcome::Unanswered, QuietMs + 4, QuietMs + 100);
+        failObservations(site, ObserveOutcome::Unanswered, IdleMs + 4, IdleMs + 100);
         CHECK(site.isKnown(start.run));
         CHECK(site.state.isBackendResponsive);
     }
@@ -231,17 +231,17 @@
 {
     // A start and the look after it are refused, and then the agent has nothing to do for seconds.
     // The next look fails, too: the backend server has not been silent meanwhile, it was not asked.
-    constexpr std::int64_t QuietMs = 7000;
+    constexpr std::int64_t IdleMs = 7000;
     Fixture site;
     const CallStart refused = site.order("a.0.0", 10);
-    site.lookFails(ObserveOutcome::Refused, 12);
+    site.failLastObservation(ObserveOutcome::Refused, 12);
     startAnswered(site.state, refused.run, refused.start.number, {StartOutcome::Refused, {}},
                   at(61));
     REQUIRE_FALSE(site.isKnown(refused.run));
     tick(site.state, at(100));
-    const CallStart start = site.order("b.0.0", QuietMs);
-    site.lookFails(ObserveOutcome::Refused, QuietMs + 2);
-    observeInVain(site, ObserveOutcome::Refused, QuietMs + 10, QuietMs + 100);
+    const CallStart start = site.order("b.0.0", IdleMs);
+    site.failLastObservation(ObserveOutcome::Refused, IdleMs + 2);
+    failObservations(site, ObserveOutcome::Refused, IdleMs + 10, IdleMs + 100);
     CHECK(site.isKnown(start.run));
     CHECK(site.state.isBackendResponsive);
 }
@@ -258,12 +258,12 @@
     const auto renewal = lastOf<CallObserve>(tick(site.state, at(RenewedMs)));
     REQUIRE(renewal.has_value());
     REQUIRE(renewal->leaseUntilMs == RenewedMs + LeaseMs);
-    Transient::ObserveAnswer lost;
-    observeAnswered(site.state, renewal->observation, lost, at(RenewedMs + 10));
-    observeInVain(site, ObserveOutcome::NotConnected, RenewedMs + 20, RenewedMs + LeaseMs);
+    Transient::ObserveAnswer unanswered;
+    observeAnswered(site.state, renewal->observation, unanswered, at(RenewedMs + 10));
+    failObservations(site, ObserveOutcome::NotConnected, RenewedMs + 20, RenewedMs + LeaseMs);
     CHECK(site.isKnown(start.run));
-    observeInVain(site, ObserveOutcome::NotConnected, RenewedMs + LeaseMs,
-                  RenewedMs + LeaseMs + 100);
+    failObservations(site, ObserveOutcome::NotConnected, RenewedMs + LeaseMs,
+                     RenewedMs + LeaseMs + 100);
     CHECK_FALSE(site.isKnown(start.run));
 }
 
@@ -276,10 +276,10 @@
     const CallStart start = site.order("a.0.0", 10);
     startAnswered(site.state, start.run, start.start.number, {StartOutcome::Unanswered, {}},
                   at(160));
-    observeInVain(site, ObserveOutcome::Unanswered, 170, 12'000);
+    failObservations(site, ObserveOutcome::Unanswered, 170, 12'000);
     CHECK_FALSE(site.state.isBackendResponsive);
     CHECK(site.isKnown(start.run));
-    observeInVain(site, ObserveOutcome::Unanswered, 12'000, 15'000);
+    failObservations(site, ObserveOutcome::Unanswered, 12'000, 15'000);
     CHECK_FALSE(site.isKnown(start.run));
 }
 
@@ -290,30 +290,30 @@
     // that runs in the second, and run elsewhere as well.
     struct Row
     {
-        const char *formerId;
-        std::int64_t formerStartedAtMs;
+        const char *previousId;
+        std::int64_t previousStartedAtMs;
     };
     const Row rows[] = {{"backend-1", 1}, {"backend-0", 500}};
     for (const Row &row : rows) {
-        CAPTURE(row.formerId);
+        CAPTURE(row.previousId);
         Fixture site;
-        Transient::BackendAnnouncement former = *site.state.backend;
-        former.id = row.formerId;
-        former.startedAtMs = row.formerStartedAtMs;
-        former.sequence = 7;
-        backendAnnounced(site.state, former, at(20));
+        Transient::BackendAnnouncement previous = *site.state.backend;
+        previous.id = row.previousId;
+        previous.startedAtMs = row.previousStartedAtMs;
+        previous.sequence = 7;
+        backendAnnounced(site.state, previous, at(20));
         Transient::BackendAnnouncement next = *site.state.backend;
         next.id = "backend-2";
         next.startedAtMs = 900;
         next.sequence = 1;
         backendAnnounced(site.state, next, at(1000));
-        const auto look = lastOf<CallObserve>(tick(site.state, at(1100)));
-        REQUIRE(look.has_value());
-        site.seen(look->observation, 1101, next.startedAtMs);
+        const auto observeCall = lastOf<CallObserve>(tick(site.state, at(1100)));
+        REQUIRE(observeCall.has_value());
+        site.seen(observeCall->observation, 1101, next.startedAtMs);
         const CallStart start = site.order("a.0.0", 1200);
         site.answer(start, 1202);
-        former.sequence = 8;
-        backendAnnounced(site.state, former, at(1250));
+        previous.sequence = 8;
+        backendAnnounced(site.state, previous, at(1250));
         CHECK(site.state.backend->id == next.id);
         CHECK(site.isKnown(start.run));
     }
@@ -325,21 +325,21 @@
     // The answer to an observation of the former life, and to a start there, is taken in only then.
     // The runs of the new life go on, and its clock stays known.
     Fixture site;
-    const CallStart former = site.order("a.0.0", 10);
-    const auto asked = lastOf<CallObserve>(tick(site.state, at(40)));
-    REQUIRE(asked.has_value());
+    const CallStart previous = site.order("a.0.0", 10);
+    const auto requested = lastOf<CallObserve>(tick(site.state, at(40)));
+    REQUIRE(requested.has_value());
     Transient::BackendAnnouncement next = *site.state.backend;
     next.startedAtMs = 900;
     next.sequence = 1;
     backendAnnounced(site.state, next, at(1000));
-    const auto look = lastOf<CallObserve>(tick(site.state, at(1100)));
-    REQUIRE(look.has_value());
-    stopAnswered(site.state, "a.0.0", former.start.number, true, at(1100));
-    site.seen(look->observation, 1101, next.startedAtMs);
+    const auto observeCall = lastOf<CallObserve>(tick(site.state, at(1100)));
+    REQUIRE(observeCall.has_value());
+    stopAnswered(site.state, "a.0.0", previous.start.number, true, at(1100));
+    site.seen(observeCall->observation, 1101, next.startedAtMs);
     const CallStart start = site.order("b.0.0", 1200);
     site.answer(start, 1202);
-    site.seen(asked->observation, 1210, 1);
-    startAnswered(site.state, former.run, former.start.number, {StartOutcome::Started, 77'000},
+    site.seen(requested->observation, 1210, 1);
+    startAnswered(site.state, previous.run, previous.start.number, {StartOutcome::Started, 77'000},
                   at(1211));
     CHECK(site.isKnown(start.run));
     CHECK(site.state.backend->startedAtMs == next.startedAtMs);
@@ -358,9 +358,9 @@
                   at(160));
     REQUIRE(lastOf<CallStop>(tick(site.state, at(161))).has_value());
     stopAnswered(site.state, "a.0.0", start.start.number, true, at(162));
-    const auto look = lastOf<CallObserve>(tick(site.state, at(420)));
-    REQUIRE(look.has_value());
-    site.seen(look->observation, 422, 300);
+    const auto observeCall = lastOf<CallObserve>(tick(site.state, at(420)));
+    REQUIRE(observeCall.has_value());
+    site.seen(observeCall->observation, 422, 300);
     CHECK(site.isKnown(start.run));
     CHECK(site.state.fence > fence);
     REQUIRE(lastOf<CallStop>(tick(site.state, at(423))).has_value());
@@ -379,9 +379,9 @@
     site.state.backend->sequence = 50;
     const CallStart start = site.order("a.0.0", 10);
     site.answer(start, 12);
-    const auto look = lastOf<CallObserve>(tick(site.state, at(40)));
-    REQUIRE(look.has_value());
-    site.seen(look->observation, 42, 30);
+    const auto observeCall = lastOf<CallObserve>(tick(site.state, at(40)));
+    REQUIRE(observeCall.has_value());
+    site.seen(observeCall->observation, 42, 30);
     Transient::BackendAnnouncement leaving = *site.state.backend;
     leaving.sequence = 2;
     leaving.leaving = true;
@@ -398,7 +398,7 @@
     site.answer(start, 12);
     backendLeft(site.state, "backend-1", at(100));
     CHECK(site.isKnown(start.run));
-    observeInVain(site, ObserveOutcome::NotConnected, 110, 1500);
+    failObservations(site, ObserveOutcome::NotConnected, 110, 1500);
     CHECK_FALSE(site.isKnown(start.run));
 }
 
@@ -411,15 +411,15 @@
     Transient::ObserveAnswer empty;
     empty.outcome = ObserveOutcome::Observed;
     empty.seen.startedAtMs = 1;
-    std::vector<std::uint64_t> asked;
-    for (std::int64_t nowMs = 11; asked.size() < 2 && nowMs < 1000; ++nowMs) {
+    std::vector<std::uint64_t> requested;
+    for (std::int64_t nowMs = 11; requested.size() < 2 && nowMs < 1000; ++nowMs) {
         if (const auto call = lastOf<CallObserve>(tick(site.state, at(nowMs)))) {
-            asked.push_back(call->observation);
+            requested.push_back(call->observation);
         }
     }
-    REQUIRE(asked.size() == 2);
+    REQUIRE(requested.size() == 2);
     site.answer(start, 1000);
-    for (const std::uint64_t observation : asked) {
+    for (const std::uint64_t observation : requested) {
         observeAnswered(site.state, observation, empty, at(1001));
     }
     CHECK(site.isKnown(start.run));
@@ -432,7 +432,7 @@
     // that hangs; 300 ms are for the link to come back.
     constexpr std::int64_t LinkLostMs = 300;
     constexpr std::int64_t ResubmittedMs = 1300;
-    constexpr int FewestTries = 9;
+    constexpr int MinStops = 9;
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     site.answer(start, 12);
@@ -443,7 +443,7 @@
             stops += std::holds_alternative<CallStop>(effect) ? 1 : 0;
         }
     }
-    CHECK(stops >= FewestTries);
+    CHECK(stops >= MinStops);
 }
 
 TEST_CASE("What must end is not renewed while its stop goes unanswered")
@@ -500,8 +500,8 @@
 namespace {
 
 /// An answer of the life \a startedAtMs that shows \a active.
-Effects shows(Fixture &site, std::uint64_t observation, std::int64_t nowMs,
-              std::int64_t startedAtMs, const std::vector<Transient::ActiveRun> &active)
+Effects answerObservation(Fixture &site, std::uint64_t observation, std::int64_t nowMs,
+                          std::int64_t startedAtMs, const std::vector<Transient::ActiveRun> &active)
 {
     Transient::ObserveAnswer answer;
     answer.outcome = ObserveOutcome::Observed;
@@ -511,7 +511,7 @@
     return observeAnswered(site.state, observation, answer, at(nowMs));
 }
 
-std::uint64_t nextLook(Fixture &site, std::int64_t fromMs)
+std::uint64_t nextObservation(Fixture &site, std::int64_t fromMs)
 {
     for (std::int64_t nowMs = fromMs; nowMs < fromMs + 1000; ++nowMs) {
         if (const auto call = lastOf<CallObserve>(tick(site.state, at(nowMs)))) {
@@ -529,23 +529,23 @@
     // A backend server restarts under its id while its agent has nothing to ask. It takes the next
     // start before it has announced itself. What shows the new life shows the run, too: given up
     // with the runs of the former life, its task would start elsewhere beside it.
-    for (const bool isMetInAnnouncement : {false, true}) {
-        CAPTURE(isMetInAnnouncement);
+    for (const bool isDetectedByAnnouncement : {false, true}) {
+        CAPTURE(isDetectedByAnnouncement);
         Fixture site;
-        constexpr std::int64_t BornMs = 4900;
+        constexpr std::int64_t NextStartedAtMs = 4900;
         const CallStart start = site.order("a.0.0", 5000);
         site.answer(start, 5003);
         const std::vector<Transient::ActiveRun> active = {{"a.0.0", start.start.number, 1}};
-        if (isMetInAnnouncement) {
+        if (isDetectedByAnnouncement) {
             Transient::BackendAnnouncement next = *site.state.backend;
-            next.startedAtMs = BornMs;
+            next.startedAtMs = NextStartedAtMs;
             next.sequence = 1;
             backendAnnounced(site.state, next, at(5005));
         } else {
-            shows(site, site.asked, 5005, BornMs, active);
+            answerObservation(site, site.requested, 5005, NextStartedAtMs, active);
         }
         CHECK(site.isKnown(start.run));
-        shows(site, nextLook(site, 5010), 5050, BornMs, active);
+        answerObservation(site, nextObservation(site, 5010), 5050, NextStartedAtMs, active);
         CHECK(site.isKnown(start.run));
         CHECK(site.state.isClean);
     }
@@ -556,9 +556,9 @@
     Fixture site;
     const CallStart start = site.order("a.0.0", 5000);
     site.answer(start, 5003);
-    shows(site, site.asked, 5005, 4900, {});
+    answerObservation(site, site.requested, 5005, 4900, {});
     CHECK(site.isKnown(start.run));
-    shows(site, nextLook(site, 5010), 5050, 4900, {});
+    answerObservation(site, nextObservation(site, 5010), 5050, 4900, {});
     CHECK_FALSE(site.isKnown(start.run));
 }
 
@@ -575,11 +575,11 @@
         site.state.backend = present;
         const CallStart start = site.order("a.0.0", 1200);
         site.answer(start, 1202);
-        Transient::BackendAnnouncement dead = present;
-        dead.id = id;
-        dead.startedAtMs = 500;
-        dead.sequence = 3;
-        backendAnnounced(site.state, dead, at(1250));
+        Transient::BackendAnnouncement previous = present;
+        previous.id = id;
+        previous.startedAtMs = 500;
+        previous.sequence = 3;
+        backendAnnounced(site.state, previous, at(1250));
         CHECK(site.isKnown(start.run));
         present.sequence = 2;
         present.leaving = true;
@@ -602,8 +602,8 @@
     backendAnnounced(site.state, next, at(100));
     CHECK(site.state.backend->id == "backend-1");
     site.order("a.0.0", 110);
-    site.lookFails(ObserveOutcome::OtherIncarnation, 112);
-    observeInVain(site, ObserveOutcome::OtherIncarnation, 120, 2000);
+    site.failLastObservation(ObserveOutcome::OtherIncarnation, 112);
+    failObservations(site, ObserveOutcome::OtherIncarnation, 120, 2000);
     REQUIRE_FALSE(site.state.isBackendResponsive);
     next.sequence = 2;
     backendAnnounced(site.state, next, at(2000));
@@ -636,9 +636,9 @@
             append(effects, ordersReceived(site.state, "gateway-2", orders, at(nowMs)));
         }
         append(effects, tick(site.state, at(nowMs)));
-        if (const auto made = lastOf<CallStart>(effects)) {
-            lastLeaseMs = std::max(lastLeaseMs, made->start.leaseUntilMs);
-            site.answer(*made, nowMs + 2);
+        if (const auto startCall = lastOf<CallStart>(effects)) {
+            lastLeaseMs = std::max(lastLeaseMs, startCall->start.leaseUntilMs);
+            site.answer(*startCall, nowMs + 2);
         }
         if (const auto call = lastOf<CallObserve>(effects)) {
             site.seen(call->observation, nowMs + 3);
@@ -653,14 +653,14 @@
     // a start that is late.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
-    site.lookFails(ObserveOutcome::Refused, 12);
+    site.failLastObservation(ObserveOutcome::Refused, 12);
     Schema::WithdrawTasks withdraw;
     withdraw.tasks.push_back({1, "a.0.0"});
     withdrawReceived(site.state, Gateway, withdraw, at(99));
-    const auto look = lastOf<CallObserve>(tick(site.state, at(99)));
-    REQUIRE(look.has_value());
+    const auto observeCall = lastOf<CallObserve>(tick(site.state, at(99)));
+    REQUIRE(observeCall.has_value());
     stopAnswered(site.state, "a.0.0", start.start.number, true, at(99));
-    shows(site, look->observation, 102, 1, {});
+    answerObservation(site, observeCall->observation, 102, 1, {});
     CHECK(site.isKnown(start.run));
 }
 
@@ -676,9 +676,9 @@
     withdraw.tasks.push_back({1, "a.0.0"});
     withdrawReceived(site.state, Gateway, withdraw, at(12));
     tick(site.state, at(12));
-    site.lookFails(ObserveOutcome::Refused, 13);
+    site.failLastObservation(ObserveOutcome::Refused, 13);
     stopAnswered(site.state, "a.0.0", start.start.number, true, at(15));
-    shows(site, nextLook(site, 16), 121, 1, {});
+    answerObservation(site, nextObservation(site, 16), 121, 1, {});
     CHECK_FALSE(site.isKnown(start.run));
     CHECK(site.state.fence > fence);
     CHECK(site.state.leaseGrantSentMs >= 10);
@@ -718,16 +718,16 @@
     site.state.isClean = false;
     const Effects effects = site.orderFrom(Gateway, "a.0.0", 30);
     CHECK_FALSE(lastOf<CallStart>(effects).has_value());
-    const auto told = lastOf<ReportAttempt>(effects);
-    REQUIRE(told.has_value());
-    CHECK(told->state.phase == Schema::AttemptPhase::NotStarted);
-    const auto look = lastOf<CallObserve>(effects);
-    REQUIRE(look.has_value());
+    const auto reported = lastOf<ReportAttempt>(effects);
+    REQUIRE(reported.has_value());
+    CHECK(reported->state.phase == Schema::AttemptPhase::NotStarted);
+    const auto observeCall = lastOf<CallObserve>(effects);
+    REQUIRE(observeCall.has_value());
     Transient::ObserveAnswer found;
     found.outcome = ObserveOutcome::Observed;
     found.seen.startedAtMs = 1;
     found.seen.active.push_back({"a.0.0", 1, 10});
-    CHECK(lastOf<CallStop>(observeAnswered(site.state, look->observation, found, at(32)))
+    CHECK(lastOf<CallStop>(observeAnswered(site.state, observeCall->observation, found, at(32)))
                   .has_value());
     CHECK_FALSE(site.state.isClean);
 }
@@ -740,14 +740,14 @@
     const CallStart start = site.order("a.0.0", 10);
     REQUIRE(start.start.number == 2);
     site.answer(start, 12);
-    const auto look = lastOf<CallObserve>(tick(site.state, at(30)));
-    REQUIRE(look.has_value());
+    const auto observeCall = lastOf<CallObserve>(tick(site.state, at(30)));
+    REQUIRE(observeCall.has_value());
     Transient::ObserveAnswer listed;
     listed.outcome = ObserveOutcome::Observed;
     listed.seen.startedAtMs = 1;
     listed.seen.active.push_back({"a.0.0", 2, 10});
     listed.seen.ended.push_back({1, "a.0.0", 1, Transient::RunEnd::Stopped});
-    observeAnswered(site.state, look->observation, listed, at(32));
+    observeAnswered(site.state, observeCall->observation, listed, at(32));
     CHECK(site.isKnown(start.run));
 }
 
@@ -758,7 +758,7 @@
     Fixture site;
     site.order("a.0.0", 10);
     const std::int64_t before = site.state.fence;
-    observeInVain(site, ObserveOutcome::Fenced, 30, 40);
+    failObservations(site, ObserveOutcome::Fenced, 30, 40);
     CHECK(site.state.fence >= before + FenceStepMs);
 }
 
@@ -768,10 +768,10 @@
     // does not show the run. The run is there all the same.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
-    const auto look = lastOf<CallObserve>(tick(site.state, at(40)));
-    REQUIRE(look.has_value());
+    const auto observeCall = lastOf<CallObserve>(tick(site.state, at(40)));
+    REQUIRE(observeCall.has_value());
     site.answer(start, 45);
-    site.seenEmpty(look->observation, 46);
+    site.answerEmptyObservation(observeCall->observation, 46);
     CHECK(site.isKnown(start.run));
 }
 
@@ -779,16 +779,16 @@
 {
     // Answers come late, two of them at once, and after a start that none of them can show.
     Fixture site;
-    const CallStart former = site.order("a.0.0", 10);
-    site.answer(former, 12);
+    const CallStart previous = site.order("a.0.0", 10);
+    site.answer(previous, 12);
     const auto first = lastOf<CallObserve>(tick(site.state, at(30)));
     const auto second = lastOf<CallObserve>(tick(site.state, at(280)));
     REQUIRE(first.has_value());
     REQUIRE(second.has_value());
     const CallStart start = site.order("b.0.0", 290);
     site.answer(start, 292);
-    site.seenEmpty(first->observation, 294);
-    site.seenEmpty(second->observation, 295);
+    site.answerEmptyObservation(first->observation, 294);
+    site.answerEmptyObservation(second->observation, 295);
     CHECK(site.isKnown(start.run));
 }
 
@@ -849,22 +849,22 @@
     // another life, which knows nothing of the task, and gives it up while it runs.
     Fixture site;
     site.answer(site.order("a.0.0", 10), 12);
-    const auto former = lastOf<CallObserve>(tick(site.state, at(100)));
-    REQUIRE(former.has_value());
-    constexpr std::int64_t NextLifeMs = 2000;
+    const auto previous = lastOf<CallObserve>(tick(site.state, at(100)));
+    REQUIRE(previous.has_value());
+    constexpr std::int64_t NextStartedAtMs = 2000;
     Transient::BackendAnnouncement next = *site.state.backend;
-    next.startedAtMs = NextLifeMs;
+    next.startedAtMs = NextStartedAtMs;
     next.sequence = 1;
-    backendAnnounced(site.state, next, at(NextLifeMs));
+    backendAnnounced(site.state, next, at(NextStartedAtMs));
     Transient::ObserveAnswer clean;
     clean.outcome = ObserveOutcome::Observed;
-    clean.seen.startedAtMs = NextLifeMs;
-    const auto look = lastOf<CallObserve>(tick(site.state, at(NextLifeMs + 50)));
-    REQUIRE(look.has_value());
-    observeAnswered(site.state, look->observation, clean, at(NextLifeMs + 52));
-    const CallStart start = site.order("b.0.0", NextLifeMs + 60);
-    site.answer(start, NextLifeMs + 62);
-    site.seen(former->observation, NextLifeMs + 70);
+    clean.seen.startedAtMs = NextStartedAtMs;
+    const auto observeCall = lastOf<CallObserve>(tick(site.state, at(NextStartedAtMs + 50)));
+    REQUIRE(observeCall.has_value());
+    observeAnswered(site.state, observeCall->observation, clean, at(NextStartedAtMs + 52));
+    const CallStart start = site.order("b.0.0", NextStartedAtMs + 60);
+    site.answer(start, NextStartedAtMs + 62);
+    site.seen(previous->observation, NextStartedAtMs + 70);
     CHECK(site.isKnown(start.run));
 }
 
@@ -878,15 +878,15 @@
         Fixture site;
         const CallStart first = site.order("a.0.0", 10);
         site.answer(first, 12);
-        observeInVain(site, ObserveOutcome::NotConnected, 20, 690);
+        failObservations(site, ObserveOutcome::NotConnected, 20, 690);
         constexpr std::int64_t RenewedMs = 695;
         const CallStart second = site.order("b.0.0", RenewedMs);
         startAnswered(site.state, second.run, second.start.number, {outcome, RenewedMs},
                       at(RenewedMs + 2));
-        observeInVain(site, ObserveOutcome::NotConnected, 700, RenewedMs + LeaseMs);
+        failObservations(site, ObserveOutcome::NotConnected, 700, RenewedMs + LeaseMs);
         CHECK(site.isKnown(first.run));
-        observeInVain(site, ObserveOutcome::NotConnected, RenewedMs + LeaseMs,
-                      RenewedMs + LeaseMs + 100);
+        failObservations(site, ObserveOutcome::NotConnected, RenewedMs + LeaseMs,
+                         RenewedMs + LeaseMs + 100);
         CHECK_FALSE(site.isKnown(first.run));
     }
 }
@@ -911,12 +911,12 @@
         for (std::int64_t nowMs = 10; nowMs < 3000; nowMs += 10) {
             if (const auto call = lastOf<CallObserve>(tick(site.state, at(nowMs)))) {
                 leaseUntilMs = std::max(leaseUntilMs, call->leaseUntilMs);
-                shows(site, call->observation, nowMs + 1, 1, active);
+                answerObservation(site, call->observation, nowMs + 1, 1, active);
             }
         }
         // The first look is 26 ms after the start; 150 ms are for a stop to be taken.
         CHECK(leaseUntilMs <= (hasOwnRun ? 26 + 150 + 20 + LeaseMs : 0));
-        shows(site, nextLook(site, 3000), 3100, 1, {});
+        answerObservation(site, nextObservation(site, 3000), 3100, 1, {});
         CHECK(site.state.strays.empty());
     }
 }
@@ -926,9 +926,10 @@
     Fixture site;
     const CallStart other = site.order("z.0.0", 10);
     site.answer(other, 12);
-    shows(site, nextLook(site, 14), 40, 1, {{"z.0.0", other.start.number, 10}, {"a.0.0", 1, 10}});
+    answerObservation(site, nextObservation(site, 14), 40, 1,
+                      {{"z.0.0", other.start.number, 10}, {"a.0.0", 1, 10}});
     CHECK_FALSE(lastOf<CallStart>(site.orderFrom(Gateway, "a.0.0", 42)).has_value());
-    shows(site, nextLook(site, 43), 90, 1, {{"z.0.0", other.start.number, 10}});
+    answerObservation(site, nextObservation(site, 43), 90, 1, {{"z.0.0", other.start.number, 10}});
     CHECK(lastOf<CallStart>(tick(site.state, at(91))).has_value());
 }
 
@@ -945,11 +946,11 @@
     ended.seen.startedAtMs = 1;
     ended.seen.active = {{"a.0.0", 1, 10}};
     ended.seen.ended = {{1, "z.0.0", own.start.number, Transient::RunEnd::Succeeded}};
-    observeAnswered(site.state, nextLook(site, 14), ended, at(40));
+    observeAnswered(site.state, nextObservation(site, 14), ended, at(40));
     REQUIRE_FALSE(site.isKnown(own.run));
     ended.seen.ended.clear();
-    observeAnswered(site.state, nextLook(site, 41), ended, at(100));
-    shows(site, nextLook(site, 101), 200, 1, {});
+    observeAnswered(site.state, nextObservation(site, 41), ended, at(100));
+    answerObservation(site, nextObservation(site, 101), 200, 1, {});
     CHECK(site.state.strays.empty());
     CHECK(lastOf<CallStart>(site.orderFrom(Gateway, "b.0.0", 1000)).has_value());
 }
@@ -959,7 +960,8 @@
     Fixture site;
     const CallStart own = site.order("z.0.0", 10);
     site.answer(own, 12);
-    shows(site, nextLook(site, 14), 40, 1, {{"z.0.0", own.start.number, 10}, {"a.0.0", 1, 10}});
+    answerObservation(site, nextObservation(site, 14), 40, 1,
+                      {{"z.0.0", own.start.number, 10}, {"a.0.0", 1, 10}});
     REQUIRE_FALSE(site.state.strays.empty());
     Transient::BackendAnnouncement next = *site.state.backend;
     next.id = "backend-2";
--- a/Source/UnitTests/Transient/SafeguardTest.cpp
+++ b/Source/UnitTests/Transient/SafeguardTest.cpp
@@ -84,7 +84,7 @@
 /// agent finds in its sockets then runs elsewhere.
 const std::vector<std::int64_t> LongTimesMs{900, 2000, 3500, 13'800, 14'200, 14'600};
 
-using Story = std::function<void(World &, std::int64_t)>;
+using Scenario = std::function<void(World &, std::int64_t)>;
 
 /// An agent that is away for longer is given up: what it had ordered is taken to be over.
 const std::vector<std::int64_t> ShortTimesMs{100, 300, 900, 1200, 1500};
@@ -94,19 +94,19 @@
                                                  290, 300, 310, 320, 330, 340, 350, 360, 370,
                                                  380, 390, 400, 410, 420, 430, 440, 450};
 
-std::size_t promisesBroken(const Safeguards &safeguards, const Story &story,
-                           const std::vector<std::int64_t> &timesMs)
+std::size_t countViolations(const Safeguards &safeguards, const Scenario &scenario,
+                            const std::vector<std::int64_t> &timesMs)
 {
     constexpr std::int64_t StartUpMs = 1000;
-    std::size_t broken = 0;
+    std::size_t violations = 0;
     std::uint64_t seed = 0;
     for (const std::int64_t ms : timesMs) {
         auto world = makeWorld(++seed, 3, 4, safeguards);
         runFor(*world, StartUpMs);
-        story(*world, ms);
-        broken += world->broken.size();
+        scenario(*world, ms);
+        violations += world->violations.size();
     }
-    return broken;
+    return violations;
 }
 
 } // namespace
@@ -117,7 +117,7 @@
     {
         const char *what;
         Safeguards off;
-        Story story;
+        Scenario scenario;
         const std::vector<std::int64_t> &timesMs;
     };
     Row rows[] = {{"grants", {}, freezeWithOrders, LongTimesMs},
@@ -132,8 +132,8 @@
     rows[4].off.orphans = false;
     for (const Row &row : rows) {
         CAPTURE(row.what);
-        CHECK(promisesBroken({}, row.story, row.timesMs) == 0);
-        CHECK(promisesBroken(row.off, row.story, row.timesMs) > 0);
+        CHECK(countViolations({}, row.scenario, row.timesMs) == 0);
+        CHECK(countViolations(row.off, row.scenario, row.timesMs) > 0);
     }
 }
 
@@ -143,5 +143,5 @@
     // the start takes effect, its lease counted from its arrival, and no new process of the agent
     // has raised the fence yet. Had the gateway given the task to another agent by then, it would
     // run twice at a time. It waits for the new process instead.
-    CHECK(promisesBroken({}, replaceAgentWithLateOrders, AllTimesMs) == 0);
+    CHECK(countViolations({}, replaceAgentWithLateOrders, AllTimesMs) == 0);
 }
--- a/Source/UnitTests/Transient/SitePropertyTest.cpp
+++ b/Source/UnitTests/Transient/SitePropertyTest.cpp
@@ -36,7 +36,7 @@
     HangBackend,
     CutOffBackend,
     ReplaceBackend,
-    AnnounceFormerLife,
+    AnnouncePreviousIncarnation,
     EndBackend,
     LeaveBackend,
     SetClocksBack,
@@ -44,7 +44,7 @@
     LoseAnswersAtOnce,
     LoseAnswersSlowly,
     CountLeasesFromArrival,
-    LateOrdersReachNextLife,
+    LateOrdersReachNextIncarnation,
     SubmitLong,
     Wait
 };
@@ -75,7 +75,7 @@
         {CommandKind::HangBackend, "hang_backend"},
         {CommandKind::CutOffBackend, "cut_off_backend"},
         {CommandKind::ReplaceBackend, "replace_backend"},
-        {CommandKind::AnnounceFormerLife, "announce_former_life"},
+        {CommandKind::AnnouncePreviousIncarnation, "announce_former_life"},
         {CommandKind::EndBackend, "end_backend"},
         {CommandKind::LeaveBackend, "leave_backend"},
         {CommandKind::SetClocksBack, "set_clocks_back"},
@@ -83,7 +83,7 @@
         {CommandKind::LoseAnswersAtOnce, "lose_answers_at_once"},
         {CommandKind::LoseAnswersSlowly, "lose_answers_slowly"},
         {CommandKind::CountLeasesFromArrival, "count_leases_from_arrival"},
-        {CommandKind::LateOrdersReachNextLife, "late_orders_reach_next_life"},
+        {CommandKind::LateOrdersReachNextIncarnation, "late_orders_reach_next_life"},
         {CommandKind::SubmitLong, "submit_long"},
         {CommandKind::Wait, "wait"},
 }};
@@ -156,21 +156,21 @@
 }
 
 /// The same, and lives of backend servers that end early or are heard late.
-rc::Gen<Command> anyCommandWithLives()
+rc::Gen<Command> anyCommandWithIncarnations()
 {
     using rc::gen::weightedElement;
     const auto kind = weightedElement<CommandKind>({
             {1, CommandKind::ReplaceBackend},
-            {1, CommandKind::AnnounceFormerLife},
+            {1, CommandKind::AnnouncePreviousIncarnation},
             {1, CommandKind::EndBackend},
-            {1, CommandKind::LateOrdersReachNextLife},
+            {1, CommandKind::LateOrdersReachNextIncarnation},
     });
     constexpr std::size_t TroubleWeight = 20;
     return rc::gen::weightedOneOf<Command>(
             {{TroubleWeight, anyCommandWithTrouble()}, {1, PropertyCheck::anyCommand(kind)}});
 }
 
-int pickOf(std::size_t count, unsigned number)
+int pickIndex(std::size_t count, unsigned number)
 {
     return static_cast<int>(number % count);
 }
@@ -199,13 +199,13 @@
 /// Trouble of a backend server that works on.
 void trouble(World &world, ModelBackend &backend, const Command &command)
 {
-    constexpr double Whole = 1000;
-    constexpr std::int64_t MostMs = 2500;
-    const std::int64_t untilMs = world.nowMs + MostMs * command.first / 1000;
+    constexpr double NumberRange = 1000;
+    constexpr std::int64_t MaxTroubleMs = 2500;
+    const std::int64_t untilMs = world.nowMs + MaxTroubleMs * command.first / 1000;
     switch (command.kind) {
     case CommandKind::RefuseCalls:
         // Every second time it refuses everything.
-        backend.trouble.refusedShare = std::min(1.0, 2 * command.first / Whole);
+        backend.trouble.refusedShare = std::min(1.0, 2 * command.first / NumberRange);
         break;
     case CommandKind::MuteBackend:
         backend.trouble.muteUntilMs = untilMs;
@@ -220,8 +220,8 @@
 
 void execute(World &world, const Command &command)
 {
-    const int gateway = pickOf(world.gateways.size(), command.first);
-    const int agent = pickOf(world.agents.size(), command.second);
+    const int gateway = pickIndex(world.gateways.size(), command.first);
+    const int agent = pickIndex(world.agents.size(), command.second);
     switch (command.kind) {
     case CommandKind::Submit:
         submit(world, gateway,
@@ -295,8 +295,8 @@
     case CommandKind::ReplaceBackend:
         replaceBackend(world, agent);
         break;
-    case CommandKind::AnnounceFormerLife:
-        announceFormerLife(world, agent);
+    case CommandKind::AnnouncePreviousIncarnation:
+        announcePreviousIncarnation(world, agent);
         break;
     case CommandKind::EndBackend:
         backendEnds(world, agent, 1 + command.first % 40);
@@ -317,8 +317,8 @@
     case CommandKind::CountLeasesFromArrival:
         world.lateLeasesCountFromArrival = command.first % 2 == 0;
         break;
-    case CommandKind::LateOrdersReachNextLife:
-        world.lateOrdersReachNextLife = command.first % 2 == 0;
+    case CommandKind::LateOrdersReachNextIncarnation:
+        world.lateOrdersReachNextIncarnation = command.first % 2 == 0;
         break;
     case CommandKind::Wait:
         runFor(world, command.first);
@@ -351,31 +351,31 @@
     runFor(world, ServeMs);
     const Caller &caller = world.callers[last];
     if (!caller.isAnswered || caller.result.outcome != Transient::JobOutcome::Succeeded) {
-        world.broken.push_back("not served after the last fault");
+        world.violations.push_back("not served after the last fault");
     }
 }
 
-std::string play(const std::vector<Command> &commands, std::uint64_t seed, std::ostream *story)
+std::string play(const std::vector<Command> &commands, std::uint64_t seed, std::ostream *trace)
 {
     constexpr std::int64_t StartUpMs = 1000;
     auto world = makeWorld(seed, 3, 4);
-    world->story = story;
+    world->trace = trace;
     runFor(*world, StartUpMs);
     for (const Command &command : commands) {
-        if (story != nullptr) {
-            *story << world->nowMs << " command: " << command << '\n';
+        if (trace != nullptr) {
+            *trace << world->nowMs << " command: " << command << '\n';
         }
         execute(*world, command);
     }
     healAndFinish(*world);
-    std::string broken;
-    for (const std::string &promise : world->broken) {
-        broken += promise + "; ";
+    std::string violations;
+    for (const std::string &violation : world->violations) {
+        violations += violation + "; ";
     }
-    return broken;
+    return violations;
 }
 
-std::string promisesBroken(const std::vector<Command> &commands, std::uint64_t seed)
+std::string findViolations(const std::vector<Command> &commands, std::uint64_t seed)
 {
     return play(commands, seed, nullptr);
 }
@@ -398,7 +398,7 @@
     return commands;
 }
 
-void tellStory(const std::vector<Command> &commands, std::uint64_t seed)
+void printTrace(const std::vector<Command> &commands, std::uint64_t seed)
 {
     play(commands, seed, &std::cerr);
 }
@@ -438,24 +438,24 @@
     };
     for (const Row &row : rows) {
         CAPTURE(row.what);
-        CHECK(promisesBroken(parseCommands(row.commands), row.seed) == "");
+        CHECK(findViolations(parseCommands(row.commands), row.seed) == "");
     }
 }
 
 TEST_CASE("Random commands break no promise of transient jobs")
 {
-    PropertyCheck::check<Command>({"transient jobs", 12, 60}, anyCommand(), promisesBroken,
-                                  tellStory);
+    PropertyCheck::check<Command>({"transient jobs", 12, 60}, anyCommand(), findViolations,
+                                  printTrace);
 }
 
 TEST_CASE("Random trouble of backend servers breaks no promise of transient jobs")
 {
     PropertyCheck::check<Command>({"trouble of backend servers", 60, 100}, anyCommandWithTrouble(),
-                                  promisesBroken, tellStory);
+                                  findViolations, printTrace);
 }
 
 TEST_CASE("Random lives of backend servers break no promise of transient jobs")
 {
-    PropertyCheck::check<Command>({"lives of backend servers", 60, 100}, anyCommandWithLives(),
-                                  promisesBroken, tellStory);
+    PropertyCheck::check<Command>({"lives of backend servers", 60, 100},
+                                  anyCommandWithIncarnations(), findViolations, printTrace);
 }
--- a/Source/UnitTests/Transient/SiteStoryTest.cpp
+++ b/Source/UnitTests/Transient/SiteStoryTest.cpp
@@ -19,10 +19,10 @@
     return world;
 }
 
-void checkPromises(const World &world)
+void checkInvariants(const World &world)
 {
-    for (const std::string &promise : world.broken) {
-        FAIL_CHECK(promise);
+    for (const std::string &violation : world.violations) {
+        FAIL_CHECK(violation);
     }
 }
 
@@ -41,7 +41,7 @@
     runFor(*world, 400);
     checkSucceeded(*world, caller);
     CHECK(world->starts == 8);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("The gateway is killed with tasks running: its caller submits again and is served")
@@ -50,15 +50,15 @@
     // gateway. The agents have lost the first gateway and have stopped its runs by then, so that no
     // task runs twice at a time. A gateway that loses power tells nobody: its agents notice by the
     // grant that lapses.
-    for (const bool loudly : {true, false}) {
-        CAPTURE(loudly);
+    for (const bool closesConnections : {true, false}) {
+        CAPTURE(closesConnections);
         auto world = readySite(2);
         const std::size_t caller = submit(*world, 0, Long, 6, 5000);
         runFor(*world, 300);
-        killGateway(*world, 0, loudly);
+        killGateway(*world, 0, closesConnections);
         runFor(*world, 5000);
         checkSucceeded(*world, caller);
-        checkPromises(*world);
+        checkInvariants(*world);
     }
 }
 
@@ -75,7 +75,7 @@
     for (const ModelBackend &backend : world->backends) {
         CHECK(backend.runs.empty());
     }
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("An agent is frozen with orders in its sockets")
@@ -97,7 +97,7 @@
         for (const std::size_t caller : callers) {
             checkSucceeded(*world, caller);
         }
-        checkPromises(*world);
+        checkInvariants(*world);
     }
 }
 
@@ -112,7 +112,7 @@
     freezeGateway(*world, 0, 5000);
     runFor(*world, 9000);
     checkSucceeded(*world, caller);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("Orders to the backend server go unanswered and are carried out late")
@@ -132,7 +132,7 @@
         answered += world->callers[caller].isAnswered ? 1 : 0;
     }
     CHECK(answered == 40);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A backend server crashes and comes back under the same id")
@@ -150,7 +150,7 @@
     const std::size_t next = submit(*world, 0, Short, 16, 4000);
     runFor(*world, 1500);
     checkSucceeded(*world, next);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("An agent is killed and another process takes its place")
@@ -158,17 +158,17 @@
     // Its runs go on at the backend server until their lease lapses or the new process stops them.
     // Only when the new process has seen that nothing is left does it take orders, and only then
     // are the tasks free to run elsewhere.
-    for (const bool loudly : {true, false}) {
-        CAPTURE(loudly);
+    for (const bool closesConnections : {true, false}) {
+        CAPTURE(closesConnections);
         auto world = readySite(8);
         const std::size_t caller = submit(*world, 0, Long, 8, 8000);
         runFor(*world, 200);
-        killAgent(*world, 0, loudly);
+        killAgent(*world, 0, closesConnections);
         runFor(*world, 150);
         startAgent(*world, 0);
         runFor(*world, 6000);
         checkSucceeded(*world, caller);
-        checkPromises(*world);
+        checkInvariants(*world);
     }
 }
 
@@ -190,7 +190,7 @@
         }
         runFor(*world, 6000);
         checkSucceeded(*world, caller);
-        checkPromises(*world);
+        checkInvariants(*world);
     }
 }
 
@@ -209,7 +209,7 @@
     runFor(*world, 3000);
     checkSucceeded(*world, running);
     checkSucceeded(*world, next);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A backend server fails everything it starts")
@@ -222,15 +222,16 @@
     for (int job = 0; job < 40; ++job) {
         const std::size_t caller = submit(*world, job % 3, Short, 2, 4000);
         runFor(*world, 250);
-        const Caller &asked = world->callers[caller];
-        succeeded += asked.isAnswered && asked.result.outcome == JobOutcome::Succeeded ? 1 : 0;
+        const Caller &submitted = world->callers[caller];
+        succeeded +=
+                submitted.isAnswered && submitted.result.outcome == JobOutcome::Succeeded ? 1 : 0;
     }
     CHECK(succeeded >= 38);
     const std::size_t poison = submit(*world, 0, {50, 1, true}, 1, 4000);
     runFor(*world, 1000);
     REQUIRE(world->callers[poison].isAnswered);
     CHECK(world->callers[poison].result.outcome == JobOutcome::Failed);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("The same job at two gateways at once is answered at both or runs once at a time")
@@ -256,7 +257,7 @@
     CHECK(world->starts == before);
     checkSucceeded(*world, first);
     REQUIRE(world->callers.back().isAnswered);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A backend server has left while its tasks run on")
@@ -270,7 +271,7 @@
     backendEnds(*world, 0, 30);
     runFor(*world, 4000);
     checkSucceeded(*world, caller);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A former life of a backend server is heard after the one that has its place")
@@ -285,10 +286,10 @@
     runFor(*world, 300);
     const std::size_t caller = submit(*world, 0, Long, 8, 8000);
     runFor(*world, 100);
-    announceFormerLife(*world, 0);
+    announcePreviousIncarnation(*world, 0);
     runFor(*world, 4000);
     checkSucceeded(*world, caller);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A gateway loses power and then an agent dies: its caller submits again elsewhere")
@@ -307,7 +308,7 @@
         runFor(*world, BetweenMs);
         killAgent(*world, 0, false);
         runFor(*world, 4000);
-        checkPromises(*world);
+        checkInvariants(*world);
     }
 }
 
@@ -332,7 +333,7 @@
             backend.trouble.refusedShare = 0;
         }
         runFor(*world, 3000);
-        checkPromises(*world);
+        checkInvariants(*world);
     }
 }
 
@@ -349,5 +350,5 @@
     world->unansweredShare = 0;
     world->backends[0].trouble.unreachableUntilMs = world->nowMs + 1500;
     runFor(*world, 14'000);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
--- a/Source/UnitTests/Transient/TransientWorld.cpp
+++ b/Source/UnitTests/Transient/TransientWorld.cpp
@@ -14,12 +14,12 @@
 using Schema::FrameType;
 
 constexpr std::int64_t HeartbeatMs = 250;
-constexpr std::int64_t SilenceMs = 800;
-constexpr std::int64_t RelinkMs = 300;
-constexpr std::int64_t DialMs = 100;
+constexpr std::int64_t SilenceTimeoutMs = 800;
+constexpr std::int64_t ReconnectGraceMs = 300;
+constexpr std::int64_t DialIntervalMs = 100;
 constexpr std::int64_t StopTimeoutMs = 120;
 constexpr std::int64_t ObserveGraceMs = 150;
-constexpr std::int64_t AnnounceEveryMs = 1500;
+constexpr std::int64_t AnnounceIntervalMs = 1500;
 constexpr std::int64_t Never = std::int64_t{1} << 40U;
 constexpr const char *Service = "repair-desk";
 
@@ -28,44 +28,44 @@
     return {world.nowMs, world.nowMs};
 }
 
-std::int64_t between(World &world, std::int64_t least, std::int64_t most)
+std::int64_t randomBetween(World &world, std::int64_t minimum, std::int64_t maximum)
 {
-    return std::uniform_int_distribution<std::int64_t>(least, most)(world.random);
+    return std::uniform_int_distribution<std::int64_t>(minimum, maximum)(world.random);
 }
 
-bool happens(World &world, double share)
+bool drawChance(World &world, double probability)
 {
-    return std::uniform_real_distribution<double>(0, 1)(world.random) < share;
+    return std::uniform_real_distribution<double>(0, 1)(world.random) < probability;
 }
 
-void at(World &world, std::int64_t inMs, std::function<void()> event)
+void scheduleEvent(World &world, std::int64_t delayMs, std::function<void()> event)
 {
-    world.events.emplace(world.nowMs + inMs, std::move(event));
+    world.events.emplace(world.nowMs + delayMs, std::move(event));
 }
 
-void record(World &world, const std::string &who, const std::string &what)
+void writeTrace(World &world, const std::string &who, const std::string &what)
 {
-    if (world.story != nullptr) {
-        *world.story << world.nowMs << ' ' << who << ": " << what << '\n';
+    if (world.trace != nullptr) {
+        *world.trace << world.nowMs << ' ' << who << ": " << what << '\n';
     }
 }
 
-void record(World &world, const std::string &who, const Transient::LogLine &note)
+void writeTrace(World &world, const std::string &who, const Transient::LogLine &logLine)
 {
-    if (world.story == nullptr) {
+    if (world.trace == nullptr) {
         return;
     }
-    std::string what = note.event;
-    for (const auto &[name, value] : note.fields) {
+    std::string what = logLine.event;
+    for (const auto &[name, value] : logLine.fields) {
         what.append(" ").append(name).append("=").append(value);
     }
-    record(world, who, what);
+    writeTrace(world, who, what);
 }
 
-void breakPromise(World &world, const std::string &what)
+void reportViolation(World &world, const std::string &what)
 {
-    record(world, "broken", what);
-    world.broken.push_back(std::to_string(world.nowMs) + ": " + what);
+    writeTrace(world, "broken", what);
+    world.violations.push_back(std::to_string(world.nowMs) + ": " + what);
 }
 
 SiteLink &linkOf(World &world, int gateway, int agent)
@@ -90,16 +90,16 @@
 
 /// A frozen process takes its messages in when it wakes, in their order.
 template <typename Process>
-void handTo(const World &world, Process &process, std::function<void()> event)
+void deliver(const World &world, Process &process, std::function<void()> event)
 {
     if (world.nowMs < process.frozenUntilMs) {
-        process.held.push_back(std::move(event));
+        process.heldEvents.push_back(std::move(event));
     } else {
         event();
     }
 }
 
-bool isCut(const World &world, int gateway, int agent)
+bool isPartitioned(const World &world, int gateway, int agent)
 {
     return world.partitions.count({gateway, agent}) != 0;
 }
@@ -108,7 +108,7 @@
 void carryOut(World &world, int agent, const Runner::Effects &effects);
 
 /// What the oracle sees of a start.
-void judgeStart(World &world, int backendIndex, const Transient::RunStart &start)
+void checkStart(World &world, int backendIndex, const Transient::RunStart &start)
 {
     ++world.starts;
     for (std::size_t index = 0; index < world.backends.size(); ++index) {
@@ -116,13 +116,13 @@
             const bool isSame =
                     static_cast<int>(index) == backendIndex && run.number == start.number;
             if (world.backends[index].isUp && run.task == start.task && !isSame) {
-                breakPromise(world, "two runs at a time: " + start.task);
+                reportViolation(world, "two runs at a time: " + start.task);
             }
         }
     }
     const std::string job = start.task.substr(0, start.task.find('.'));
-    if (world.refusedForGood.count(job) != 0) {
-        breakPromise(world, "refused, but started: " + job);
+    if (world.finallyRefused.count(job) != 0) {
+        reportViolation(world, "refused, but started: " + job);
     }
 }
 
@@ -134,24 +134,24 @@
     ModelBackend &target = backendAt(world, backend);
     const std::size_t before = target.runs.size();
     const Transient::StartAnswer answer = applyStart(target, start, world.nowMs);
-    record(world, target.id,
-           "start " + start.task + " number=" + std::to_string(start.number)
-                   + " fence=" + std::to_string(start.fence) + ' '
-                   + std::string(Common::nameOf(Transient::StartOutcomeNames, answer.outcome)));
+    writeTrace(world, target.id,
+               "start " + start.task + " number=" + std::to_string(start.number)
+                       + " fence=" + std::to_string(start.fence) + ' '
+                       + std::string(Common::nameOf(Transient::StartOutcomeNames, answer.outcome)));
     if (target.runs.size() > before) {
-        judgeStart(world, backend, start);
+        checkStart(world, backend, start);
     }
     return answer;
 }
 
-enum class CallFate { Answered, AnswerLost, CarriedOutLate };
+enum class CallOutcome { Answered, AnswerLost, ExecutedLate };
 
-CallFate drawFate(World &world)
+CallOutcome drawCallOutcome(World &world)
 {
-    if (!happens(world, world.unansweredShare)) {
-        return CallFate::Answered;
+    if (!drawChance(world, world.unansweredShare)) {
+        return CallOutcome::Answered;
     }
-    return happens(world, 0.5) ? CallFate::AnswerLost : CallFate::CarriedOutLate;
+    return drawChance(world, 0.5) ? CallOutcome::AnswerLost : CallOutcome::ExecutedLate;
 }
 
 enum class CallFailure { Unanswered, NotConnected, Refused };
@@ -162,9 +162,9 @@
     int agent = 0;
     std::string instance;
     /// Life of the backend server that it was meant for.
-    std::int64_t lifeMs = 0;
+    std::int64_t backendStartedAtMs = 0;
     bool isAnswerLost = false;
-    bool isOver = false;
+    bool isEnded = false;
     std::function<void(CallFailure)> failed;
 };
 
@@ -172,19 +172,19 @@
 
 void endCall(World &world, const CallPtr &call, std::function<void()> event)
 {
-    if (call->isOver) {
+    if (call->isEnded) {
         return;
     }
-    call->isOver = true;
+    call->isEnded = true;
     SiteAgent &process = agentAt(world, call->agent);
     if (process.isUp && process.state.instance == call->instance) {
-        handTo(world, process, std::move(event));
+        deliver(world, process, std::move(event));
     }
 }
 
-void failCallIn(World &world, std::int64_t inMs, const CallPtr &call, CallFailure failure)
+void failCallIn(World &world, std::int64_t delayMs, const CallPtr &call, CallFailure failure)
 {
-    at(world, inMs, [&world, call, failure] {
+    scheduleEvent(world, delayMs, [&world, call, failure] {
         endCall(world, call, [call, failure] { call->failed(failure); });
     });
 }
@@ -193,59 +193,61 @@
 {
     const bool isMute = world.nowMs < backendAt(world, call->agent).trouble.muteUntilMs;
     if (!call->isAnswerLost && !isMute) {
-        at(world, 1, [&world, call, answered] { endCall(world, call, answered); });
+        scheduleEvent(world, 1, [&world, call, answered] { endCall(world, call, answered); });
     }
 }
 
-/// Runs \a carriedOut at the backend server, which ends the call by answerCall or later.
+/// Runs \a execute at the backend server, which ends the call by answerCall or later.
 void arriveAtBackend(World &world, const CallPtr &call, bool isLate,
-                     const std::function<void(const CallPtr &)> &carriedOut)
+                     const std::function<void(const CallPtr &)> &execute)
 {
     const ModelBackend &target = backendAt(world, call->agent);
-    const bool isOtherLife = target.startedAtMs != call->lifeMs;
-    if (!target.isUp || (isOtherLife && !(isLate && world.lateOrdersReachNextLife))) {
+    const bool isOtherIncarnation = target.startedAtMs != call->backendStartedAtMs;
+    if (!target.isUp || (isOtherIncarnation && !(isLate && world.lateOrdersReachNextIncarnation))) {
         // The connection breaks with its end.
         failCallIn(world, 1, call, CallFailure::Unanswered);
         return;
     }
     if (world.nowMs >= target.trouble.hungUntilMs) {
-        carriedOut(call);
+        execute(call);
     }
 }
 
 /// The call fails with \a failed, after the timeout at the latest, at the agent, which may have
 /// died meanwhile.
 void callBackend(World &world, int agent, std::int64_t timeoutMs,
-                 const std::function<void(const CallPtr &)> &carriedOut,
+                 const std::function<void(const CallPtr &)> &execute,
                  const std::function<void(CallFailure)> &failed)
 {
     const ModelBackend &target = backendAt(world, agent);
     auto call = std::make_shared<Call>();
     call->agent = agent;
     call->instance = agentAt(world, agent).state.instance;
-    call->lifeMs = target.startedAtMs;
+    call->backendStartedAtMs = target.startedAtMs;
     call->failed = failed;
     if (!target.isUp || world.nowMs < target.trouble.unreachableUntilMs) {
         failCallIn(world, 1, call, CallFailure::NotConnected);
         return;
     }
     failCallIn(world, timeoutMs, call, CallFailure::Unanswered);
-    if (target.trouble.refusedShare > 0 && happens(world, target.trouble.refusedShare)) {
+    if (target.trouble.refusedShare > 0 && drawChance(world, target.trouble.refusedShare)) {
         failCallIn(world, 2, call, CallFailure::Refused);
         return;
     }
-    const CallFate fate = drawFate(world);
-    call->isAnswerLost = fate != CallFate::Answered;
+    const CallOutcome callOutcome = drawCallOutcome(world);
+    call->isAnswerLost = callOutcome != CallOutcome::Answered;
     if (call->isAnswerLost && world.answersAreLostAtOnce) {
-        constexpr std::int64_t MostMs = 3;
-        failCallIn(world, between(world, 1, MostMs), call, CallFailure::Unanswered);
-    }
-    constexpr std::int64_t LeastLateMs = 2000;
-    constexpr std::int64_t MostLateMs = 12'000;
-    const bool isLate = fate == CallFate::CarriedOutLate;
-    const std::int64_t delayMs = isLate ? between(world, LeastLateMs, MostLateMs) : 1;
-    at(world, delayMs,
-       [&world, call, isLate, carriedOut] { arriveAtBackend(world, call, isLate, carriedOut); });
+        constexpr std::int64_t MaxFailureDelayMs = 3;
+        failCallIn(world, randomBetween(world, 1, MaxFailureDelayMs), call,
+                   CallFailure::Unanswered);
+    }
+    constexpr std::int64_t MinLateMs = 2000;
+    constexpr std::int64_t MaxLateMs = 12'000;
+    const bool isLate = callOutcome == CallOutcome::ExecutedLate;
+    const std::int64_t delayMs = isLate ? randomBetween(world, MinLateMs, MaxLateMs) : 1;
+    scheduleEvent(world, delayMs, [&world, call, isLate, execute] {
+        arriveAtBackend(world, call, isLate, execute);
+    });
 }
 
 Transient::StartOutcome startOutcomeOf(CallFailure failure)
@@ -266,46 +268,46 @@
 
 void carryOutOne(World &world, int agent, const Runner::CallStart &effect)
 {
-    const auto tell = [&world, agent, effect](const Transient::StartAnswer &answer) {
+    const auto handleAnswer = [&world, agent, effect](const Transient::StartAnswer &answer) {
         carryOut(world, agent,
                  Runner::startAnswered(agentAt(world, agent).state, effect.run, effect.start.number,
                                        answer, moment(world)));
     };
     callBackend(
             world, agent, effect.timeoutMs,
-            [&world, agent, effect, tell, sentMs = world.nowMs](const CallPtr &call) {
+            [&world, agent, effect, handleAnswer, sentMs = world.nowMs](const CallPtr &call) {
                 Transient::RunStart start = effect.start;
                 if (world.lateLeasesCountFromArrival) {
                     start.leaseUntilMs += world.nowMs - sentMs;
                 }
                 const Transient::StartAnswer answer = startAtBackend(world, agent, start);
-                answerCall(world, call, [tell, answer] { tell(answer); });
+                answerCall(world, call, [handleAnswer, answer] { handleAnswer(answer); });
             },
-            [tell](CallFailure failure) {
+            [handleAnswer](CallFailure failure) {
                 Transient::StartAnswer answer;
                 answer.outcome = startOutcomeOf(failure);
-                tell(answer);
+                handleAnswer(answer);
             });
 }
 
 void carryOutOne(World &world, int agent, const Runner::CallStop &effect)
 {
     const std::int64_t fence = agentAt(world, agent).state.fence;
-    const auto tell = [&world, agent, effect](bool taken) {
-        Runner::stopAnswered(agentAt(world, agent).state, effect.task, effect.number, taken,
+    const auto handleAnswer = [&world, agent, effect](bool accepted) {
+        Runner::stopAnswered(agentAt(world, agent).state, effect.task, effect.number, accepted,
                              moment(world));
     };
     callBackend(
             world, agent, StopTimeoutMs,
-            [&world, agent, effect, fence, tell](const CallPtr &call) {
-                const bool taken = applyStop(backendAt(world, agent), effect.task, effect.number,
-                                             fence, world.nowMs);
-                record(world, backendAt(world, agent).id,
-                       "stop " + effect.task + " number=" + std::to_string(effect.number)
-                               + (taken ? " taken" : " fenced"));
-                answerCall(world, call, [tell, taken] { tell(taken); });
+            [&world, agent, effect, fence, handleAnswer](const CallPtr &call) {
+                const bool accepted = applyStop(backendAt(world, agent), effect.task, effect.number,
+                                                fence, world.nowMs);
+                writeTrace(world, backendAt(world, agent).id,
+                           "stop " + effect.task + " number=" + std::to_string(effect.number)
+                                   + (accepted ? " taken" : " fenced"));
+                answerCall(world, call, [handleAnswer, accepted] { handleAnswer(accepted); });
             },
-            [tell](CallFailure) { tell(false); });
+            [handleAnswer](CallFailure) { handleAnswer(false); });
 }
 
 void answerObserve(World &world, int agent, std::uint64_t observation,
@@ -317,20 +319,20 @@
 }
 
 /// Answers as soon as there is an end, or when the wait is over.
-void waitForNews(World &world, const CallPtr &call, const Runner::CallObserve &effect,
+void waitForEnds(World &world, const CallPtr &call, const Runner::CallObserve &effect,
                  std::int64_t fence, std::int64_t untilMs)
 {
     const int agent = call->agent;
     ModelBackend &backend = backendAt(world, agent);
-    if (!backend.isUp || backend.startedAtMs != call->lifeMs) {
+    if (!backend.isUp || backend.startedAtMs != call->backendStartedAtMs) {
         failCallIn(world, 1, call, CallFailure::Unanswered);
         return;
     }
     advance(backend, world.nowMs);
     const bool isHung = world.nowMs < backend.trouble.hungUntilMs;
-    if (isHung || (!hasNews(backend, effect.lastEnd) && world.nowMs < untilMs)) {
-        at(world, 1, [&world, call, effect, fence, untilMs] {
-            waitForNews(world, call, effect, fence, untilMs);
+    if (isHung || (!hasNewEnds(backend, effect.lastEnd) && world.nowMs < untilMs)) {
+        scheduleEvent(world, 1, [&world, call, effect, fence, untilMs] {
+            waitForEnds(world, call, effect, fence, untilMs);
         });
         return;
     }
@@ -349,14 +351,15 @@
             [&world, agent, effect, fence, sentMs = world.nowMs](const CallPtr &call) {
                 ModelBackend &backend = backendAt(world, agent);
                 advance(backend, world.nowMs);
-                const bool isMoved = world.lateLeasesCountFromArrival && effect.leaseUntilMs != 0;
+                const bool shiftsLease =
+                        world.lateLeasesCountFromArrival && effect.leaseUntilMs != 0;
                 const std::int64_t leaseUntilMs =
-                        effect.leaseUntilMs + (isMoved ? world.nowMs - sentMs : 0);
+                        effect.leaseUntilMs + (shiftsLease ? world.nowMs - sentMs : 0);
                 const auto first =
                         applyObserve(backend, fence, effect.lastEnd, leaseUntilMs, world.nowMs);
                 if (first.outcome == Transient::ObserveOutcome::Observed && effect.waitMs > 0
-                    && backend.startedAtMs == call->lifeMs) {
-                    waitForNews(world, call, effect, fence, world.nowMs + effect.waitMs);
+                    && backend.startedAtMs == call->backendStartedAtMs) {
+                    waitForEnds(world, call, effect, fence, world.nowMs + effect.waitMs);
                     return;
                 }
                 answerCall(world, call, [&world, agent, effect, first] {
@@ -385,27 +388,27 @@
 {
     SiteLink &link = linkOf(world, gateway, agent);
     link.agentSentMs = world.nowMs;
-    if (link.isSilent || isCut(world, gateway, agent)) {
+    if (link.isSilent || isPartitioned(world, gateway, agent)) {
         return;
     }
-    at(world, 2, [&world, gateway, agent, frame, number = link.number] {
+    scheduleEvent(world, 2, [&world, gateway, agent, frame, number = link.number] {
         SiteGateway &process = gatewayAt(world, gateway);
         if (!process.isUp) {
             return;
         }
-        handTo(world, process, [&world, gateway, agent, frame, number] {
-            SiteLink &here = linkOf(world, gateway, agent);
+        deliver(world, process, [&world, gateway, agent, frame, number] {
+            SiteLink &currentLink = linkOf(world, gateway, agent);
             SiteGateway &target = gatewayAt(world, gateway);
-            if (here.number != number || !here.gatewayUp) {
+            if (currentLink.number != number || !currentLink.gatewayUp) {
                 return;
             }
-            here.gatewayHeardMs = world.nowMs;
+            currentLink.gatewayLastReceivedMs = world.nowMs;
             if (frame.agentAnnouncement) {
-                here.announced = true;
+                currentLink.announced = true;
                 carryOut(world, gateway,
                          Transient::agentAnnounced(target.state, *frame.agentAnnouncement,
                                                    moment(world), world.random));
-            } else if (frame.agentReport && here.announced) {
+            } else if (frame.agentReport && currentLink.announced) {
                 carryOut(world, gateway,
                          Transient::agentReported(target.state,
                                                   agentAt(world, agent).state.instance,
@@ -422,7 +425,7 @@
     frame.type = FrameType::AgentAnnouncement;
     frame.agentAnnouncement = Runner::announcementFor(agentAt(world, agent).state,
                                                       link.gatewayInstance, moment(world));
-    link.toldOrphans = agentAt(world, agent).state.orphansChange;
+    link.reportedOrphansChange = agentAt(world, agent).state.orphansChange;
     if (!world.safeguards.cleanStart) {
         frame.agentAnnouncement->clean = true;
     }
@@ -445,18 +448,18 @@
 void carryOut(World &world, int agent, const Runner::Effects &effects)
 {
     for (const Runner::Effect &effect : effects) {
-        if (const auto *note = std::get_if<Transient::LogLine>(&effect)) {
-            record(world, agentAt(world, agent).state.instance, *note);
+        if (const auto *logLine = std::get_if<Transient::LogLine>(&effect)) {
+            writeTrace(world, agentAt(world, agent).state.instance, *logLine);
         }
         std::visit([&world, agent](const auto &one) { carryOutOne(world, agent, one); }, effect);
     }
 }
 
-void agentHears(World &world, int gateway, int agent, const Frame &frame)
+void handleFrameAtAgent(World &world, int gateway, int agent, const Frame &frame)
 {
     SiteLink &link = linkOf(world, gateway, agent);
     SiteAgent &process = agentAt(world, agent);
-    link.agentHeardMs = world.nowMs;
+    link.agentLastReceivedMs = world.nowMs;
     if (frame.gatewayAnnouncement) {
         const std::string &instance = frame.gatewayAnnouncement->gateway.instance;
         if (!link.gatewayInstance.empty()) {
@@ -464,7 +467,7 @@
             return;
         }
         link.gatewayInstance = instance;
-        process.unlinked.erase(instance);
+        process.disconnectedGateways.erase(instance);
         announce(world, gateway, agent);
         const auto recentEnds = process.state.recentEnds.find(instance);
         if (recentEnds != process.state.recentEnds.end()) {
@@ -486,24 +489,24 @@
 void sendToAgent(World &world, int gateway, int agent, const Frame &frame)
 {
     SiteLink &link = linkOf(world, gateway, agent);
-    if (link.isSilent || isCut(world, gateway, agent) || !link.gatewayUp) {
+    if (link.isSilent || isPartitioned(world, gateway, agent) || !link.gatewayUp) {
         return;
     }
-    at(world, 2, [&world, gateway, agent, frame, number = link.number] {
+    scheduleEvent(world, 2, [&world, gateway, agent, frame, number = link.number] {
         SiteAgent &process = agentAt(world, agent);
         if (!process.isUp) {
             return;
         }
-        handTo(world, process, [&world, gateway, agent, frame, number] {
-            const SiteLink &here = linkOf(world, gateway, agent);
-            if (here.number == number && here.agentUp) {
-                agentHears(world, gateway, agent, frame);
+        deliver(world, process, [&world, gateway, agent, frame, number] {
+            const SiteLink &currentLink = linkOf(world, gateway, agent);
+            if (currentLink.number == number && currentLink.agentUp) {
+                handleFrameAtAgent(world, gateway, agent, frame);
             }
         });
     });
 }
 
-void beat(World &world, int gateway, int agent)
+void sendHeartbeat(World &world, int gateway, int agent)
 {
     SiteLink &link = linkOf(world, gateway, agent);
     SiteGateway &process = gatewayAt(world, gateway);
@@ -527,7 +530,7 @@
             continue;
         }
         if (answer.job != caller.job) {
-            breakPromise(world, "answer of " + answer.job + " reached " + caller.job);
+            reportViolation(world, "answer of " + answer.job + " reached " + caller.job);
         }
         caller.isAnswered = true;
         caller.gateway = -1;
@@ -535,7 +538,7 @@
         caller.answeredMs = world.nowMs;
         const bool isRefused = answer.result.outcome == Transient::JobOutcome::Refused;
         if (isRefused && caller.attempts == 1) {
-            world.refusedForGood.insert(caller.job);
+            world.finallyRefused.insert(caller.job);
         }
         return;
     }
@@ -561,30 +564,30 @@
 void carryOut(World &world, int gateway, const Transient::Effects &effects)
 {
     for (const Transient::Effect &effect : effects) {
-        if (const auto *note = std::get_if<Transient::LogLine>(&effect)) {
-            record(world, gatewayAt(world, gateway).instance, *note);
+        if (const auto *logLine = std::get_if<Transient::LogLine>(&effect)) {
+            writeTrace(world, gatewayAt(world, gateway).instance, *logLine);
         }
         std::visit([&world, gateway](const auto &one) { carryOutOne(world, gateway, one); },
                    effect);
     }
 }
 
-void agentLosesLink(World &world, int gateway, int agent)
+void closeAgentEnd(World &world, int gateway, int agent)
 {
     SiteLink &link = linkOf(world, gateway, agent);
     if (!link.agentUp) {
         return;
     }
     link.agentUp = false;
-    link.nextDialMs = world.nowMs + DialMs;
+    link.nextDialMs = world.nowMs + DialIntervalMs;
     if (!link.gatewayInstance.empty()) {
-        agentAt(world, agent).unlinked[link.gatewayInstance] = world.nowMs;
+        agentAt(world, agent).disconnectedGateways[link.gatewayInstance] = world.nowMs;
     }
     link.gatewayInstance.clear();
     link.unsent.clear();
 }
 
-void gatewayLosesLink(World &world, int gateway, int agent)
+void closeGatewayEnd(World &world, int gateway, int agent)
 {
     SiteLink &link = linkOf(world, gateway, agent);
     if (!link.gatewayUp) {
@@ -604,30 +607,30 @@
 void closeLink(World &world, int gateway, int agent, bool byAgent)
 {
     SiteLink &link = linkOf(world, gateway, agent);
-    const bool isSeen = !link.isSilent && !isCut(world, gateway, agent);
+    const bool reachesPeer = !link.isSilent && !isPartitioned(world, gateway, agent);
     const std::uint64_t number = link.number;
     if (byAgent) {
-        agentLosesLink(world, gateway, agent);
+        closeAgentEnd(world, gateway, agent);
     } else {
-        gatewayLosesLink(world, gateway, agent);
+        closeGatewayEnd(world, gateway, agent);
     }
-    if (!isSeen) {
+    if (!reachesPeer) {
         return;
     }
-    at(world, 2, [&world, gateway, agent, byAgent, number] {
+    scheduleEvent(world, 2, [&world, gateway, agent, byAgent, number] {
         if (linkOf(world, gateway, agent).number != number) {
             return;
         }
         if (byAgent && gatewayAt(world, gateway).isUp) {
-            handTo(world, gatewayAt(world, gateway), [&world, gateway, agent, number] {
+            deliver(world, gatewayAt(world, gateway), [&world, gateway, agent, number] {
                 if (linkOf(world, gateway, agent).number == number) {
-                    gatewayLosesLink(world, gateway, agent);
+                    closeGatewayEnd(world, gateway, agent);
                 }
             });
         } else if (!byAgent && agentAt(world, agent).isUp) {
-            handTo(world, agentAt(world, agent), [&world, gateway, agent, number] {
+            deliver(world, agentAt(world, agent), [&world, gateway, agent, number] {
                 if (linkOf(world, gateway, agent).number == number) {
-                    agentLosesLink(world, gateway, agent);
+                    closeAgentEnd(world, gateway, agent);
                 }
             });
         }
@@ -637,14 +640,15 @@
 void dial(World &world, int gateway, int agent)
 {
     SiteLink &link = linkOf(world, gateway, agent);
-    link.nextDialMs = world.nowMs + DialMs;
+    link.nextDialMs = world.nowMs + DialIntervalMs;
     SiteGateway &target = gatewayAt(world, gateway);
-    if (!target.isUp || world.nowMs < target.frozenUntilMs || isCut(world, gateway, agent)) {
+    if (!target.isUp || world.nowMs < target.frozenUntilMs
+        || isPartitioned(world, gateway, agent)) {
         return;
     }
     if (link.gatewayUp) {
         // The gateway still holds the former connection; it takes the agent as met anew.
-        gatewayLosesLink(world, gateway, agent);
+        closeGatewayEnd(world, gateway, agent);
     }
     const std::int64_t nextDialMs = link.nextDialMs;
     link = SiteLink{};
@@ -652,13 +656,13 @@
     link.number = ++world.lastNumber;
     link.agentUp = true;
     link.gatewayUp = true;
-    link.agentHeardMs = world.nowMs;
-    link.gatewayHeardMs = world.nowMs;
-    beat(world, gateway, agent);
+    link.agentLastReceivedMs = world.nowMs;
+    link.gatewayLastReceivedMs = world.nowMs;
+    sendHeartbeat(world, gateway, agent);
 }
 
 /// Heartbeats between gateways.
-void driveGatewayLinks(World &world, int from)
+void sendGatewayHeartbeats(World &world, int from)
 {
     SiteGateway &sender = gatewayAt(world, from);
     if (world.nowMs < sender.sentMs + HeartbeatMs) {
@@ -670,42 +674,44 @@
         if (static_cast<int>(to) == from) {
             continue;
         }
-        at(world, 2, [&world, to, orphans, instance = sender.instance] {
+        scheduleEvent(world, 2, [&world, to, orphans, instance = sender.instance] {
             SiteGateway &receiver = world.gateways[to];
             if (!receiver.isUp) {
                 return;
             }
-            handTo(world, receiver, [&world, &receiver, orphans, instance] {
+            deliver(world, receiver, [&world, &receiver, orphans, instance] {
                 Transient::updateRelayedOrphans(receiver.state, instance, orphans, moment(world));
             });
         });
     }
 }
 
-void driveLink(World &world, int gateway, int agent)
+void updateLink(World &world, int gateway, int agent)
 {
     SiteLink &link = linkOf(world, gateway, agent);
     SiteAgent &process = agentAt(world, agent);
     SiteGateway &peer = gatewayAt(world, gateway);
     const bool agentRuns = process.isUp && world.nowMs >= process.frozenUntilMs;
     const bool gatewayRuns = peer.isUp && world.nowMs >= peer.frozenUntilMs;
-    if (agentRuns && link.agentUp && world.nowMs > link.agentHeardMs + SilenceMs) {
+    if (agentRuns && link.agentUp && world.nowMs > link.agentLastReceivedMs + SilenceTimeoutMs) {
         closeLink(world, gateway, agent, true);
     }
-    if (gatewayRuns && link.gatewayUp && world.nowMs > link.gatewayHeardMs + SilenceMs) {
+    if (gatewayRuns && link.gatewayUp
+        && world.nowMs > link.gatewayLastReceivedMs + SilenceTimeoutMs) {
         closeLink(world, gateway, agent, false);
     }
     if (agentRuns && !link.agentUp && world.nowMs >= link.nextDialMs) {
         dial(world, gateway, agent);
     }
     if (gatewayRuns && link.gatewayUp && world.nowMs >= link.gatewaySentMs + HeartbeatMs) {
-        beat(world, gateway, agent);
+        sendHeartbeat(world, gateway, agent);
     }
     if (!agentRuns || !link.agentUp || link.gatewayInstance.empty()) {
         return;
     }
     const bool isDue =
-            Runner::isUrgent(link.unsent) || link.toldOrphans < process.state.urgentOrphansChange
+            Runner::isUrgent(link.unsent)
+            || link.reportedOrphansChange < process.state.urgentOrphansChange
             || world.nowMs >= link.agentSentMs + HeartbeatMs
             || (world.nowMs
                         >= link.agentSentMs + Runner::loadReportIntervalMs(world.gateways.size())
@@ -716,9 +722,9 @@
         frame.agentReport = Schema::AgentReport{};
         frame.agentReport->load =
                 Runner::loadFor(process.state, link.gatewayInstance, moment(world));
-        if (link.toldOrphans != process.state.orphansChange) {
+        if (link.reportedOrphansChange != process.state.orphansChange) {
             frame.agentReport->orphans = process.state.orphans;
-            link.toldOrphans = process.state.orphansChange;
+            link.reportedOrphansChange = process.state.orphansChange;
         }
         frame.agentReport->states = std::move(link.unsent);
         link.unsent.clear();
@@ -727,41 +733,42 @@
 }
 
 template <typename Process>
-void thaw(const World &world, Process &process)
+void processHeldEvents(const World &world, Process &process)
 {
-    if (world.nowMs < process.frozenUntilMs || process.held.empty()) {
+    if (world.nowMs < process.frozenUntilMs || process.heldEvents.empty()) {
         return;
     }
-    const std::vector<std::function<void()>> held = std::move(process.held);
-    process.held.clear();
-    for (const std::function<void()> &event : held) {
+    const std::vector<std::function<void()>> heldEvents = std::move(process.heldEvents);
+    process.heldEvents.clear();
+    for (const std::function<void()> &event : heldEvents) {
         if (process.isUp) {
             event();
         }
     }
 }
 
-void driveAgent(World &world, int index)
+void updateAgent(World &world, int index)
 {
     SiteAgent &agent = agentAt(world, index);
     if (!agent.isUp || world.nowMs < agent.frozenUntilMs) {
         return;
     }
-    for (auto entry = agent.unlinked.begin(); entry != agent.unlinked.end();) {
-        if (world.nowMs < entry->second + RelinkMs) {
+    for (auto entry = agent.disconnectedGateways.begin();
+         entry != agent.disconnectedGateways.end();) {
+        if (world.nowMs < entry->second + ReconnectGraceMs) {
             ++entry;
             continue;
         }
         const std::string lost = entry->first;
-        entry = agent.unlinked.erase(entry);
+        entry = agent.disconnectedGateways.erase(entry);
         carryOut(world, index, Runner::gatewayLost(agent.state, lost, moment(world)));
     }
     carryOut(world, index, Runner::tick(agent.state, moment(world)));
 }
 
-void resubmitLater(World &world, std::size_t number);
+void scheduleResubmission(World &world, std::size_t number);
 
-void driveCallers(World &world)
+void updateCallers(World &world)
 {
     for (std::size_t number = 0; number < world.callers.size(); ++number) {
         Caller &caller = world.callers[number];
@@ -769,7 +776,7 @@
             const int gateway = caller.gateway;
             const std::string token = caller.token;
             caller.gateway = -1;
-            handTo(world, gatewayAt(world, gateway), [&world, gateway, token] {
+            deliver(world, gatewayAt(world, gateway), [&world, gateway, token] {
                 SiteGateway &process = gatewayAt(world, gateway);
                 if (process.isUp) {
                     carryOut(world, gateway,
@@ -777,20 +784,20 @@
                                                                  moment(world)));
                 }
             });
-            resubmitLater(world, number);
+            scheduleResubmission(world, number);
         }
     }
 }
 
-void submitAgain(World &world, std::size_t number, int gateway)
+void sendSubmission(World &world, std::size_t number, int gateway)
 {
     Caller &caller = world.callers[number];
     SiteGateway &target = gatewayAt(world, gateway);
     if (!target.isUp) {
-        resubmitLater(world, number);
+        scheduleResubmission(world, number);
         return;
     }
-    record(world, "caller", "submits " + caller.job + " at " + target.instance);
+    writeTrace(world, "caller", "submits " + caller.job + " at " + target.instance);
     caller.gateway = gateway;
     caller.submittedMs = world.nowMs;
     caller.token = std::to_string(number) + '-' + std::to_string(++caller.attempts);
@@ -805,7 +812,7 @@
     step.resources.processors = caller.work.processors;
     step.expectedRunMs = caller.work.runMs;
     submission.request.steps.push_back(step);
-    handTo(world, target, [&world, gateway, submission] {
+    deliver(world, target, [&world, gateway, submission] {
         SiteGateway &process = gatewayAt(world, gateway);
         if (process.isUp) {
             carryOut(world, gateway,
@@ -815,16 +822,16 @@
     });
 }
 
-void resubmitLater(World &world, std::size_t number)
+void scheduleResubmission(World &world, std::size_t number)
 {
-    constexpr int MostAttempts = 4;
-    if (world.callers[number].attempts >= MostAttempts) {
+    constexpr int MaxAttempts = 4;
+    if (world.callers[number].attempts >= MaxAttempts) {
         return;
     }
-    at(world, ResubmitMs, [&world, number] {
+    scheduleEvent(world, ResubmitMs, [&world, number] {
         if (!world.callers[number].isAnswered && world.callers[number].gateway < 0) {
             const auto last = static_cast<std::int64_t>(world.gateways.size()) - 1;
-            submitAgain(world, number, static_cast<int>(between(world, 0, last)));
+            sendSubmission(world, number, static_cast<int>(randomBetween(world, 0, last)));
         }
     });
 }
@@ -851,7 +858,7 @@
     if (!agent.isUp) {
         return;
     }
-    handTo(world, agent, [&world, backend, announcement] {
+    deliver(world, agent, [&world, backend, announcement] {
         carryOut(world, backend,
                  Runner::backendAnnounced(agentAt(world, backend).state, announcement,
                                           moment(world)));
@@ -871,31 +878,31 @@
     }
     // A process that wakes reads what is in its sockets before it notices how late it is.
     for (SiteGateway &gateway : world.gateways) {
-        thaw(world, gateway);
+        processHeldEvents(world, gateway);
     }
     for (SiteAgent &agent : world.agents) {
-        thaw(world, agent);
+        processHeldEvents(world, agent);
     }
     for (std::size_t gateway = 0; gateway < world.gateways.size(); ++gateway) {
         SiteGateway &process = world.gateways[gateway];
         if (process.isUp && world.nowMs >= process.frozenUntilMs) {
             carryOut(world, static_cast<int>(gateway),
                      Transient::tick(process.state, moment(world), world.random));
-            driveGatewayLinks(world, static_cast<int>(gateway));
+            sendGatewayHeartbeats(world, static_cast<int>(gateway));
         }
         for (std::size_t agent = 0; agent < world.agents.size(); ++agent) {
-            driveLink(world, static_cast<int>(gateway), static_cast<int>(agent));
+            updateLink(world, static_cast<int>(gateway), static_cast<int>(agent));
         }
     }
     for (std::size_t agent = 0; agent < world.agents.size(); ++agent) {
-        driveAgent(world, static_cast<int>(agent));
+        updateAgent(world, static_cast<int>(agent));
         const ModelBackend &backend = world.backends[agent];
-        if (backend.isUp && (world.nowMs - backend.startedAtMs) % AnnounceEveryMs == 0) {
+        if (backend.isUp && (world.nowMs - backend.startedAtMs) % AnnounceIntervalMs == 0) {
             announceBackend(world, static_cast<int>(agent),
                             announcementOf(world, static_cast<int>(agent)));
         }
     }
-    driveCallers(world);
+    updateCallers(world);
 }
 
 } // namespace
@@ -944,30 +951,30 @@
     caller.tasks = tasks;
     caller.remainingTimeoutMs = remainingTimeoutMs;
     world.callers.push_back(caller);
-    submitAgain(world, world.callers.size() - 1, gateway);
+    sendSubmission(world, world.callers.size() - 1, gateway);
     return world.callers.size() - 1;
 }
 
 void leave(World &world, std::size_t caller)
 {
     Caller &leaving = world.callers[caller];
-    constexpr int NeverAgain = 1000;
-    leaving.attempts += NeverAgain;
+    constexpr int ExhaustedAttempts = 1000;
+    leaving.attempts += ExhaustedAttempts;
     leaving.submittedMs = world.nowMs - leaving.remainingTimeoutMs;
 }
 
-void killGateway(World &world, int gateway, bool loudly)
+void killGateway(World &world, int gateway, bool closesConnections)
 {
     SiteGateway &process = gatewayAt(world, gateway);
     if (!process.isUp) {
         return;
     }
     process.isUp = false;
-    record(world, process.instance, loudly ? "killed" : "powered off");
-    process.held.clear();
+    writeTrace(world, process.instance, closesConnections ? "killed" : "powered off");
+    process.heldEvents.clear();
     for (std::size_t agent = 0; agent < world.agents.size(); ++agent) {
         SiteLink &link = linkOf(world, gateway, static_cast<int>(agent));
-        link.isSilent = link.isSilent || !loudly;
+        link.isSilent = link.isSilent || !closesConnections;
         link.announced = false;
         closeLink(world, gateway, static_cast<int>(agent), false);
         link.gatewayUp = false;
@@ -975,7 +982,7 @@
     for (std::size_t number = 0; number < world.callers.size(); ++number) {
         if (world.callers[number].gateway == gateway) {
             world.callers[number].gateway = -1;
-            resubmitLater(world, number);
+            scheduleResubmission(world, number);
         }
     }
 }
@@ -997,7 +1004,7 @@
     gatewayAt(world, gateway).frozenUntilMs = world.nowMs + forMs;
 }
 
-void killAgent(World &world, int agent, bool loudly)
+void killAgent(World &world, int agent, bool closesConnections)
 {
     SiteAgent &process = agentAt(world, agent);
     if (!process.isUp) {
@@ -1005,24 +1012,24 @@
     }
     for (std::size_t gateway = 0; gateway < world.gateways.size(); ++gateway) {
         SiteLink &link = linkOf(world, static_cast<int>(gateway), agent);
-        link.isSilent = link.isSilent || !loudly;
+        link.isSilent = link.isSilent || !closesConnections;
         closeLink(world, static_cast<int>(gateway), agent, true);
     }
     process.isUp = false;
-    record(world, process.state.instance, loudly ? "killed" : "powered off");
-    process.held.clear();
+    writeTrace(world, process.state.instance, closesConnections ? "killed" : "powered off");
+    process.heldEvents.clear();
 }
 
 void startAgent(World &world, int agent)
 {
     SiteAgent &process = agentAt(world, agent);
-    const std::int64_t formerFence = process.state.fence;
+    const std::int64_t previousFence = process.state.fence;
     process = SiteAgent{};
     Runner::RunnerState &state = process.state;
     state.name = "agent-" + std::to_string(agent);
     state.instance = state.name + '-' + std::to_string(++world.lastNumber);
     state.service = Service;
-    state.fence = world.safeguards.fence ? world.nowMs + world.wallClockStepMs : formerFence;
+    state.fence = world.safeguards.fence ? world.nowMs + world.wallClockStepMs : previousFence;
     if (!world.safeguards.grants) {
         state.times.grantMs = Never;
     }
@@ -1041,7 +1048,7 @@
 void crashBackend(World &world, int backend)
 {
     ModelBackend &crashed = backendAt(world, backend);
-    record(world, crashed.id, "crashed");
+    writeTrace(world, crashed.id, "crashed");
     crashed.isUp = false;
     crashed.runs.clear();
 }
@@ -1052,9 +1059,9 @@
     if (restarted.isUp) {
         return;
     }
-    restarted.formerLife = announcementOf(world, backend);
+    restarted.previousAnnouncement = announcementOf(world, backend);
     restart(restarted, world.nowMs);
-    record(world, restarted.id, "restarted");
+    writeTrace(world, restarted.id, "restarted");
     announceBackend(world, backend, announcementOf(world, backend));
 }
 
@@ -1064,11 +1071,11 @@
     restartBackend(world, backend);
 }
 
-void announceFormerLife(World &world, int backend)
+void announcePreviousIncarnation(World &world, int backend)
 {
     const ModelBackend &target = backendAt(world, backend);
-    if (target.isUp && target.formerLife) {
-        announceBackend(world, backend, *target.formerLife);
+    if (target.isUp && target.previousAnnouncement) {
+        announceBackend(world, backend, *target.previousAnnouncement);
     }
 }
 
@@ -1086,13 +1093,13 @@
     }
     SiteAgent &agent = agentAt(world, backend);
     if (agent.isUp) {
-        handTo(world, agent, [&world, backend, id = ending.id] {
+        deliver(world, agent, [&world, backend, id = ending.id] {
             carryOut(world, backend,
                      Runner::backendLeft(agentAt(world, backend).state, id, moment(world)));
         });
     }
-    at(world, afterMs, [&world, backend, lifeMs = ending.startedAtMs] {
-        if (backendAt(world, backend).startedAtMs == lifeMs) {
+    scheduleEvent(world, afterMs, [&world, backend, backendStartedAtMs = ending.startedAtMs] {
+        if (backendAt(world, backend).startedAtMs == backendStartedAtMs) {
             crashBackend(world, backend);
         }
     });
--- a/Source/UnitTests/Transient/TransientWorld.h
+++ b/Source/UnitTests/Transient/TransientWorld.h
@@ -48,12 +48,12 @@
     bool announced = false;
     /// Frames are swallowed without a word.
     bool isSilent = false;
-    std::int64_t agentHeardMs = 0;
-    std::int64_t gatewayHeardMs = 0;
+    std::int64_t agentLastReceivedMs = 0;
+    std::int64_t gatewayLastReceivedMs = 0;
     std::int64_t agentSentMs = 0;
     std::int64_t gatewaySentMs = 0;
     std::int64_t nextDialMs = 0;
-    std::uint64_t toldOrphans = 0;
+    std::uint64_t reportedOrphansChange = 0;
     /// Instance of the gateway, as the agent learned it.
     std::string gatewayInstance;
     std::vector<Schema::AttemptState> unsent;
@@ -67,7 +67,7 @@
     /// To the other gateways.
     std::int64_t sentMs = 0;
     Transient::GatewayState state;
-    std::vector<std::function<void()>> held;
+    std::vector<std::function<void()>> heldEvents;
 };
 
 struct SiteAgent
@@ -75,8 +75,8 @@
     bool isUp = true;
     std::int64_t frozenUntilMs = 0;
     Runner::RunnerState state;
-    std::map<std::string, std::int64_t> unlinked;
-    std::vector<std::function<void()>> held;
+    std::map<std::string, std::int64_t> disconnectedGateways;
+    std::vector<std::function<void()>> heldEvents;
 };
 
 /// Safeguards that a test switches off, to show that each is needed.
@@ -117,17 +117,17 @@
     /// timeout.
     bool answersAreLostAtOnce = false;
     /// A late order to a former life is carried out by the one that has its place.
-    bool lateOrdersReachNextLife = false;
+    bool lateOrdersReachNextIncarnation = false;
     /// By how much the time of day of agents was set. Their fences start from it.
     std::int64_t wallClockStepMs = 0;
     Safeguards safeguards;
 
     /// Where all that happens is written down; null where it is not.
-    std::ostream *story = nullptr;
+    std::ostream *trace = nullptr;
 
     /// Promises found broken, in the order they broke.
-    std::vector<std::string> broken;
-    std::set<std::string> refusedForGood;
+    std::vector<std::string> violations;
+    std::set<std::string> finallyRefused;
     int starts = 0;
 };
 
@@ -141,10 +141,10 @@
 /// The caller closes its connection and does not come back.
 void leave(World &world, std::size_t caller);
 
-void killGateway(World &world, int gateway, bool loudly);
+void killGateway(World &world, int gateway, bool closesConnections);
 void startGateway(World &world, int gateway);
 void freezeGateway(World &world, int gateway, std::int64_t forMs);
-void killAgent(World &world, int agent, bool loudly);
+void killAgent(World &world, int agent, bool closesConnections);
 void startAgent(World &world, int agent);
 void freezeAgent(World &world, int agent, std::int64_t forMs);
 void crashBackend(World &world, int backend);
@@ -152,7 +152,7 @@
 /// Crashes, and another life has its place at once.
 void replaceBackend(World &world, int backend);
 /// A message that the former life had sent arrives.
-void announceFormerLife(World &world, int backend);
+void announcePreviousIncarnation(World &world, int backend);
 /// Says that it will leave, and works on.
 void backendLeaves(World &world, int backend);
 /// Says that it has left; what runs there runs on for \a afterMs.
