--- a/Source/UnitTests/Transient/ModelBackend.cpp
+++ b/Source/UnitTests/Transient/ModelBackend.cpp
@@ -111,7 +111,8 @@
     barred = std::max(barred, number);
     for (ModelRun &run : backend.runs) {
         if (run.task == task && run.number <= number && run.endsMs > nowMs + StopDurationMs) {
-            // It ends as stopped: its work was not over.
+            // A negative start time marks a stopped run: it ends as stopped, since its work was
+            // not finished.
             run.endsMs = nowMs + StopDurationMs;
             run.startedMs = -1;
         }
@@ -181,7 +182,7 @@
     backend.isLeaving = false;
     backend.trouble = {};
     backend.startedAtMs = nowMs + 1;
-    // Its clock starts anew.
+    // Its clock starts from zero.
     backend.clockOffsetMs -= clockOf(backend, nowMs);
     backend.leaseUntilMs = 0;
     backend.fence = 0;
--- a/Source/UnitTests/Transient/ModelBackend.h
+++ b/Source/UnitTests/Transient/ModelBackend.h
@@ -9,8 +9,8 @@
 
 #include "Transient/Transient.h"
 
-/// A backend server in virtual time, by the platform's rules: leases on a clock of its own, rising
-/// run numbers, numbered ends, room.
+/// A model of a backend server in virtual time that follows the rules of the platform: leases on
+/// its own clock, rising run numbers, numbered ends and limited processors.
 namespace TransientSite {
 
 struct ModelRun
@@ -31,7 +31,8 @@
     Transient::RunEnd end = Transient::RunEnd::Other;
 };
 
-/// What a payload asks for: "RUNMS PROCESSORS", with "fail" behind for a task that always fails.
+/// The work that a payload describes: "RUNMS PROCESSORS", followed by "fail" for a task that always
+/// fails.
 struct ModelWork
 {
     std::int64_t runMs = 0;
@@ -42,16 +43,16 @@
 std::string payloadOf(const ModelWork &work);
 ModelWork workOf(const std::string &payload);
 
-/// What is wrong with a backend server that lives and works on.
+/// Faults of a backend server whose runs continue.
 struct BackendTrouble
 {
-    /// Of the calls: it refuses them and has done nothing then.
+    /// Share of the calls that it refuses without executing them.
     double refusedShare = 0;
-    /// It carries calls out and answers none.
+    /// Until then it executes calls and answers none.
     std::int64_t muteUntilMs = 0;
-    /// It neither carries calls out nor answers them.
+    /// Until then it neither executes calls nor answers them.
     std::int64_t hungUntilMs = 0;
-    /// No connection can be made.
+    /// Until then no connection can be made to it.
     std::int64_t unreachableUntilMs = 0;
 };
 
@@ -60,12 +61,12 @@
     std::string id;
     double processors = 8;
     double speed = 1;
-    /// Every task fails at once.
+    /// Every task that starts fails after 2 ms.
     bool failsAll = false;
     bool isUp = true;
     bool isLeaving = false;
     BackendTrouble trouble;
-    /// What the life before this one said last.
+    /// Last announcement of the previous incarnation.
     std::optional<Transient::BackendAnnouncement> previousAnnouncement;
     std::int64_t startedAtMs = 1;
     std::int64_t clockOffsetMs = 0;
@@ -74,7 +75,7 @@
     std::int64_t lastEnd = 0;
     std::vector<ModelRun> runs;
     std::deque<ModelEnd> ends;
-    /// No run of the task up to this number starts.
+    /// By task: no run up to this number starts any more.
     std::map<std::string, std::int64_t> barred;
 };
 
@@ -83,18 +84,18 @@
 
 Transient::StartAnswer applyStart(ModelBackend &backend, const Transient::RunStart &start,
                                   std::int64_t nowMs);
-/// False where the fence forbids it.
+/// False where the fence is too low.
 bool applyStop(ModelBackend &backend, const std::string &task, std::int64_t number,
                std::int64_t fence, std::int64_t nowMs);
 Transient::ObserveAnswer applyObserve(ModelBackend &backend, std::int64_t fence,
                                       std::int64_t lastEnd, std::int64_t leaseUntilMs,
                                       std::int64_t nowMs);
-/// True where it has ends that \a lastEnd does not cover.
+/// True if it has ends with positions above \a lastEnd.
 bool hasNewEnds(const ModelBackend &backend, std::int64_t lastEnd);
 
-/// Ends what is done and, where the lease has lapsed, everything.
+/// Ends the runs that are due, and all runs if the lease has lapsed.
 void advance(ModelBackend &backend, std::int64_t nowMs);
-/// Another life under the same id.
+/// Starts the next incarnation, with the same id.
 void restart(ModelBackend &backend, std::int64_t nowMs);
 
 } // namespace TransientSite
--- a/Source/UnitTests/Transient/RunnerTest.cpp
+++ b/Source/UnitTests/Transient/RunnerTest.cpp
@@ -2,9 +2,9 @@
 #include <optional>
 #include <ostream>
 
+#include "Runner/Observation.h"
 #include "Runner/Runner.h"
 #include "Runner/Runs.h"
-#include "Runner/Watch.h"
 
 using namespace Runner;
 using Transient::ObserveOutcome;
@@ -32,7 +32,7 @@
     return last;
 }
 
-/// An agent whose backend server is free and known to be clean.
+/// An agent whose backend server has no runs, as an observation has shown.
 struct Fixture
 {
     Fixture()
@@ -55,6 +55,7 @@
         this->seen(first->observation, 2);
     }
 
+    /// Answers an observation with all runs that the agent knows as running.
     Effects seen(std::uint64_t observation, std::int64_t nowMs, std::int64_t startedAtMs = 1)
     {
         Transient::ObserveAnswer answer;
@@ -69,7 +70,7 @@
         return observeAnswered(this->state, observation, answer, at(nowMs));
     }
 
-    /// An observation comes back that shows nothing at all.
+    /// Answers an observation without any runs.
     void answerEmptyObservation(std::uint64_t observation, std::int64_t nowMs)
     {
         Transient::ObserveAnswer answer;
@@ -79,7 +80,7 @@
         observeAnswered(this->state, observation, answer, at(nowMs));
     }
 
-    /// The start that the order leads to.
+    /// Orders a task and returns the start that follows.
     CallStart order(const std::string &task, std::int64_t nowMs)
     {
         const Effects effects = this->orderFrom(Gateway, task, nowMs);
@@ -106,7 +107,7 @@
         return effects;
     }
 
-    /// The observation that followed the last order ends with \a outcome.
+    /// Ends the observation that followed the last order with \a outcome.
     void failLastObservation(ObserveOutcome outcome, std::int64_t nowMs)
     {
         Transient::ObserveAnswer failed;
@@ -127,7 +128,7 @@
     std::uint64_t requested = 0;
 };
 
-/// Those under way fail, too.
+/// Ends all pending observations with \a outcome.
 void failPending(Fixture &site, ObserveOutcome outcome, std::int64_t nowMs)
 {
     const std::map<std::uint64_t, PendingObservation> pending = site.state.pendingObservations;
@@ -138,7 +139,8 @@
     }
 }
 
-/// Every observation of the time ends with \a outcome. Returns the last lease that was asked for.
+/// Ends every observation between \a fromMs and \a untilMs with \a outcome. Returns the latest
+/// lease end that they requested; 0 if none requested a lease.
 std::int64_t failObservations(Fixture &site, ObserveOutcome outcome, std::int64_t fromMs,
                               std::int64_t untilMs)
 {
@@ -158,11 +160,11 @@
 
 } // namespace
 
-TEST_CASE("A start on its way is not given up with what has lapsed")
+TEST_CASE("A pending start is not ended together with lapsed runs")
 {
-    // The backend server refuses every observation for a while and takes a start all the same. A
-    // refusal comes in while the start's answer is on its way. The run before it has lapsed; the
-    // new one has not: given up now, its task would run a second time elsewhere.
+    // The backend server refuses every observation for a while and yet accepts a start. A refusal
+    // arrives before the answer to the start. The earlier run has lapsed and the new one has not:
+    // if the agent ended it now, its task would run a second time elsewhere.
     for (const ObserveOutcome outcome : {ObserveOutcome::Refused, ObserveOutcome::NotConnected}) {
         CAPTURE(Common::nameOf(Transient::ObserveOutcomeNames, outcome));
         Fixture site;
@@ -175,8 +177,8 @@
         failObservations(site, outcome, lapsingMs + 10, lapsingMs + 100);
         CHECK(site.isKnown(second.run));
         CHECK(site.isKnown(first.run));
-        // The first was under the lease that the second start may have granted, and no later one.
-        // The second was never answered: it may be on its way for 12 s.
+        // The last lease of the first run is the one that the second start may have granted. The
+        // second start was never answered: it may take effect up to 12 s late.
         failObservations(site, outcome, lapsingMs + 110, lapsingMs + 1700);
         CHECK_FALSE(site.isKnown(first.run));
         CHECK(site.isKnown(second.run));
@@ -187,10 +189,11 @@
     }
 }
 
-TEST_CASE("What is taken to have lapsed is not renewed")
+TEST_CASE("Runs that are about to be ended as lapsed are not renewed")
 {
-    // The backend server carries observations out and answers none. Each would renew the lease of
-    // everything there; the agent gives its runs up in the end, and they must be over by then.
+    // The backend server executes observations and answers none. Each one that requests a lease
+    // renews everything there. The agent finally ends its runs as lost, and they must have ended at
+    // the backend server by then.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     site.answer(start, 12);
@@ -201,16 +204,13 @@
     CHECK_FALSE(site.state.isBackendResponsive);
 }
 
-TEST_CASE("A lost answer after a quiet time gives nothing up")
+TEST_CASE("A lost answer after an idle period ends no run")
 {
-    // Callers had every answer in time, and yet one task had two runs at a time. Its agent had had
-    // nothing to do, and so nothing to ask, for seconds. It started the task and looked; the answer
-    // to that look was lost within 3 ms. The time without an answer counted as silence of the
-    // backend server, every run was given up, and the gateway had the task start elsewhere 8 ms
-    // after its first start. The log of a play with lost answers and little load showed it:
-    //   event=backend_lost why=unanswered answered_ms_ago=7282
-    //   event=run_ended attempt=1 waited_ms=4 phase=stopped reason=backend_lost run_ms=0
-    //   event=stray_run_stopped run=1 percent=14
+    // An agent without runs sends no observations. It started a task after 7,282 ms, and the answer
+    // to the observation that followed was lost within 3 ms. When the whole time since the last
+    // answer counted as silence of the backend server, the agent ended every run as lost, and the
+    // gateway started the task elsewhere 8 ms after its first start: it had two runs at a time.
+    // This came about with lost answers and little load.
     constexpr std::int64_t IdleMs = 7282;
     for (const bool isStartAnswered : {false, true}) {
         CAPTURE(isStartAnswered);
@@ -227,10 +227,11 @@
     }
 }
 
-TEST_CASE("A question that failed before a quiet time is no silence")
+TEST_CASE("A failed observation before an idle period does not count as silence")
 {
-    // A start and the look after it are refused, and then the agent has nothing to do for seconds.
-    // The next look fails, too: the backend server has not been silent meanwhile, it was not asked.
+    // A start and the observation after it are refused, and then the agent has no runs for seconds.
+    // The next observation fails as well. The backend server has not been silent in between, since
+    // no observation was sent.
     constexpr std::int64_t IdleMs = 7000;
     Fixture site;
     const CallStart refused = site.order("a.0.0", 10);
@@ -248,9 +249,9 @@
 
 TEST_CASE("A lease that an unanswered call has renewed is waited out")
 {
-    // The backend server carries out a renewal without answering it, and no connection can be made
-    // to it for a while after. What runs there lasts for a lease from that renewal on, not from the
-    // last answer: given up earlier, it would run a second time elsewhere.
+    // The backend server executes a renewal without answering it, and no connection can be made to
+    // it for a while afterwards. Its runs last for a lease from that renewal on, not from the last
+    // answer: if the agent ended them earlier, their tasks would run a second time elsewhere.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     site.answer(start, 12);
@@ -267,11 +268,11 @@
     CHECK_FALSE(site.isKnown(start.run));
 }
 
-TEST_CASE("A start that was never answered is not given up with the leases")
+TEST_CASE("A start that was never answered is not ended when the leases have lapsed")
 {
-    // A start goes unanswered, and so does everything after it. It may still be on its way and take
-    // effect up to 12 s later, with a lease counted from then. Given up when the leases known of
-    // are over, its task would go to another agent and run there when the start arrives.
+    // A start and all calls after it are unanswered. The start may take effect up to 12 s later,
+    // with a lease that counts from then. If the agent ended the run when the known leases have
+    // lapsed, the task would go to another agent and run there when the start takes effect.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     startAnswered(site.state, start.run, start.start.number, {StartOutcome::Unanswered, {}},
@@ -283,11 +284,11 @@
     CHECK_FALSE(site.isKnown(start.run));
 }
 
-TEST_CASE("A late announcement of a former life changes nothing")
+TEST_CASE("A late announcement of a previous incarnation changes nothing")
 {
-    // A backend server begins a new life at the same address, and an announcement that the former
-    // one had sent arrives only then. Taken for a third life, it would have everything given up
-    // that runs in the second, and run elsewhere as well.
+    // A backend server starts a new incarnation at the same address, and an announcement that the
+    // previous one had sent arrives only then. If the agent took it for a third incarnation, it
+    // would end all runs of the second one, and their tasks would run elsewhere as well.
     struct Row
     {
         const char *previousId;
@@ -319,11 +320,12 @@
     }
 }
 
-TEST_CASE("What was asked of a former life tells nothing of the present one")
+TEST_CASE("Answers to calls to a previous incarnation are ignored")
 {
-    // A backend server crashes and begins another life under the same id, which announces itself.
-    // The answer to an observation of the former life, and to a start there, is taken in only then.
-    // The runs of the new life go on, and its clock stays known.
+    // A backend server crashes and starts another incarnation with the same id, which announces
+    // itself. Only then does the agent process the answers to an observation and to a start that it
+    // had sent to the previous incarnation. The runs of the new incarnation go on, and its clock
+    // offset does not change.
     Fixture site;
     const CallStart previous = site.order("a.0.0", 10);
     const auto requested = lastOf<CallObserve>(tick(site.state, at(40)));
@@ -346,11 +348,12 @@
     CHECK(leaseUntilMs(site.state, at(1212)) == 1212 + LeaseMs);
 }
 
-TEST_CASE("A start that went to a former life is stopped in the present one")
+TEST_CASE("A start that was sent to a previous incarnation is stopped in the present one")
 {
-    // The backend server begins another life under the same id while a start is unanswered. Orders
-    // that are carried out late reach the new life, which knows neither the run's number nor the
-    // fence. The task is free only after the new life has confirmed a stop, under a higher fence.
+    // The backend server starts another incarnation with the same id while a start is unanswered.
+    // Orders that are executed late reach the new incarnation, which has neither the run's number
+    // nor the fence. The task may run elsewhere only after the new incarnation has accepted a stop
+    // with a higher fence and an observation does not show the run.
     Fixture site;
     const std::int64_t fence = site.state.fence;
     const CallStart start = site.order("a.0.0", 10);
@@ -371,10 +374,10 @@
     CHECK_FALSE(site.isKnown(start.run));
 }
 
-TEST_CASE("The announcements of a life that was met in an observation are heard")
+TEST_CASE("Announcements of an incarnation that was detected in an observation are processed")
 {
-    // An observation shows that another life has begun; its announcements count from 1 again. It
-    // says that it leaves, and must get nothing more.
+    // An observation shows that another incarnation has started. The sequence of its announcements
+    // restarts at 1. It announces that it is leaving, and must get no more tasks.
     Fixture site;
     site.state.backend->sequence = 50;
     const CallStart start = site.order("a.0.0", 10);
@@ -389,10 +392,11 @@
     CHECK(site.state.backend->leaving);
 }
 
-TEST_CASE("What runs at a backend server that has left is given up with its lease")
+TEST_CASE("Runs at a backend server that has left are ended when their lease lapses")
 {
-    // A backend server says that it has left while a task still runs there; it may take some
-    // moments to end. Given up at once, the task would run elsewhere beside it.
+    // A backend server announces that it has left while a task still runs there; the process may
+    // take some time to end. If the agent ended the run at once, the task would run elsewhere at
+    // the same time.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     site.answer(start, 12);
@@ -404,8 +408,8 @@
 
 TEST_CASE("Observations that were made before a start took effect do not end it")
 {
-    // A start takes long to be answered. Two observations are sent after it, carried out before it,
-    // and answered after it: neither shows the run, and both were asked for later than the start.
+    // A start is answered late. Two observations are sent after it, executed before it, and
+    // answered after it: neither shows the run, though both were sent later than the start.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     Transient::ObserveAnswer empty;
@@ -425,11 +429,11 @@
     CHECK(site.isKnown(start.run));
 }
 
-TEST_CASE("Of stops one in two goes unanswered, and what must end ends before its caller is back")
+TEST_CASE("A stop is sent often enough that a run ends before its caller submits again")
 {
-    // The gateway of a run is killed and its caller submits again elsewhere 1.3 s later. Every
-    // second order to the backend server is lost. The stop is repeated without a wait for the one
-    // that hangs; 300 ms are for the link to come back.
+    // The gateway of a run is killed, and its caller submits again elsewhere 1.3 s later. One in
+    // two stops is unanswered. The agent repeats the stop without waiting for the answer to the
+    // last one. It starts after the 300 ms in which the link could have been restored.
     constexpr std::int64_t LinkLostMs = 300;
     constexpr std::int64_t ResubmittedMs = 1300;
     constexpr int MinStops = 9;
@@ -446,11 +450,12 @@
     CHECK(stops >= MinStops);
 }
 
-TEST_CASE("What must end is not renewed while its stop goes unanswered")
+TEST_CASE("A run is not renewed while its stop is unanswered")
 {
-    // The gateway of a run is killed and its caller submits again elsewhere 1.3 s later. The
-    // backend server answers observations and no stop. Its leases end all that runs there before
-    // that: better the tasks of others run again than one runs twice at a time.
+    // The gateway of a run is killed, and its caller submits again elsewhere 1.3 s later. The
+    // backend server answers observations but no stop. The agent lets the leases of all runs there
+    // lapse before that: it is better to run tasks of other gateways again than to run one task
+    // twice at a time.
     constexpr std::int64_t LinkLostMs = 300;
     constexpr std::int64_t ResubmittedMs = 1300;
     Fixture site;
@@ -472,16 +477,16 @@
         }
     }
     CHECK(leaseUntilMs < ResubmittedMs);
-    // Nothing else is wanted there: not even the first look after the loss renews.
+    // No other run is wanted there: not even the first observation after the loss renews.
     CHECK(leaseUntilMs <= LinkLostMs + LeaseMs);
     CHECK(leaseUntilMs > LinkLostMs + LeaseMs - 50);
 }
 
-TEST_CASE("After an unanswered call nothing sent before it is obeyed")
+TEST_CASE("After an unanswered call later calls have a higher fence")
 {
-    // A renewal goes unanswered and is carried out seconds later, when it would prolong runs that
-    // this agent has given up meanwhile. Every later call has a higher fence: once one of them is
-    // answered, the late one does nothing.
+    // A renewal is unanswered and executed seconds later, when it would prolong runs that the agent
+    // has ended as lost in the meantime. Every later call has a higher fence: after one of them has
+    // been executed, the late renewal has no effect.
     Fixture site;
     const std::int64_t fence = site.state.fence;
     const CallStart start = site.order("a.0.0", 10);
@@ -499,7 +504,8 @@
 
 namespace {
 
-/// An answer of the life \a startedAtMs that shows \a active.
+/// Answers an observation for the incarnation that started at \a startedAtMs, with the runs
+/// \a active.
 Effects answerObservation(Fixture &site, std::uint64_t observation, std::int64_t nowMs,
                           std::int64_t startedAtMs, const std::vector<Transient::ActiveRun> &active)
 {
@@ -524,11 +530,12 @@
 
 } // namespace
 
-TEST_CASE("A run that a new life has taken goes on when that life is met")
+TEST_CASE("A run that a new incarnation has started goes on when that incarnation is detected")
 {
-    // A backend server restarts under its id while its agent has nothing to ask. It takes the next
-    // start before it has announced itself. What shows the new life shows the run, too: given up
-    // with the runs of the former life, its task would start elsewhere beside it.
+    // A backend server restarts with the same id while its agent is idle. It accepts the next start
+    // before it has announced itself. Then the agent detects the new incarnation: if it ended the
+    // run together with those of the previous incarnation, the task would run elsewhere at the same
+    // time.
     for (const bool isDetectedByAnnouncement : {false, true}) {
         CAPTURE(isDetectedByAnnouncement);
         Fixture site;
@@ -551,7 +558,7 @@
     }
 }
 
-TEST_CASE("A run that a new life does not have is given up at the first look")
+TEST_CASE("A run that a new incarnation does not have is ended at the next observation")
 {
     Fixture site;
     const CallStart start = site.order("a.0.0", 5000);
@@ -562,11 +569,11 @@
     CHECK_FALSE(site.isKnown(start.run));
 }
 
-TEST_CASE("An announcement of a life that was over before this agent began changes nothing")
+TEST_CASE("An announcement of an incarnation that ended before this agent started changes nothing")
 {
-    // It was held up on its way while its sender crashed and another life took its place. Taken for
-    // a newer one, it would have all runs given up, and every later announcement of the life that
-    // is there would count as late: the agent would take no work for good.
+    // It was delayed while its sender crashed and the next incarnation started. If the agent took
+    // it for a newer incarnation, it would end all runs, and every later announcement of the
+    // present incarnation would count as late: the agent would never accept work again.
     for (const char *id : {"backend-0", "backend-1"}) {
         CAPTURE(std::string(id));
         Fixture site;
@@ -589,10 +596,11 @@
     }
 }
 
-TEST_CASE("A life with an earlier start is met where the present one is gone")
+TEST_CASE("An incarnation with an earlier start time is accepted when the present one is gone")
 {
-    // The time of day was set back before a backend server began another life: its start seems
-    // older than that of the life before. It counts as soon as the former one answers no more.
+    // The time of day was set back before a backend server started another incarnation, so that its
+    // start time is earlier than that of the previous one. Its announcement is accepted once the
+    // previous incarnation does not answer any more.
     Fixture site;
     site.state.backend->startedAtMs = 9000;
     Transient::BackendAnnouncement next = *site.state.backend;
@@ -610,11 +618,11 @@
     CHECK(site.state.backend->id == "backend-2");
 }
 
-TEST_CASE("Nothing is started while a stop is not taken")
+TEST_CASE("Nothing is started while a stop is not accepted")
 {
-    // A start prolongs the lease of all that runs there, as a renewal does. The gateway of a run is
-    // killed, its stops go unanswered, and orders of another gateway wait: started, each would keep
-    // the unwanted run at work after its caller has submitted it again.
+    // A start prolongs the lease of all runs there, as a renewal does. The gateway of a run is
+    // killed, the stops of the run are unanswered, and orders of another gateway wait. If these
+    // were started, the unwanted run would go on after its caller has submitted the job again.
     constexpr std::int64_t LinkLostMs = 300;
     constexpr std::int64_t ResubmittedMs = 1300;
     Fixture site;
@@ -647,10 +655,10 @@
     CHECK(lastLeaseMs < ResubmittedMs);
 }
 
-TEST_CASE("An observation of the millisecond in which a stop was taken proves nothing")
+TEST_CASE("An observation sent in the millisecond in which a stop was accepted proves no end")
 {
-    // It was asked for before the answer to the stop came in, and may have been carried out before
-    // a start that is late.
+    // It was sent before the answer to the stop arrived, and may have been executed before a start
+    // that is late.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     site.failLastObservation(ObserveOutcome::Refused, 12);
@@ -664,11 +672,11 @@
     CHECK(site.isKnown(start.run));
 }
 
-TEST_CASE("A start that is settled before its answer counts as unanswered")
+TEST_CASE("A start whose run ends before its answer counts as unanswered")
 {
-    // A task is withdrawn while its start is open; the stop is taken and the run is not shown. The
-    // start may yet be carried out and prolong what else runs there: it stays counted as a grant,
-    // and the fence is above it.
+    // A task is withdrawn while its start is pending; the stop is accepted and the run is not
+    // observed. The start may still be executed and prolong the other runs there: it stays counted
+    // as the grant of a lease, and the fence is raised above it.
     Fixture site;
     const std::int64_t fence = site.state.fence;
     const CallStart start = site.order("a.0.0", 10);
@@ -688,7 +696,7 @@
 {
     // A caller's connection breaks and it submits again at another gateway, which orders the
     // task at the agent that still runs it for the first gateway. The second run has to wait
-    // until the first is over: the backend server would work on both.
+    // until the first has ended: otherwise the backend server would run both.
     Fixture site;
     const CallStart first = site.order("a.0.0", 10);
     site.answer(first, 12);
@@ -698,7 +706,8 @@
     REQUIRE(stop.has_value());
     CHECK_FALSE(lastOf<CallStart>(tick(site.state, at(31))).has_value());
     stopAnswered(site.state, stop->task, stop->number, true, at(32));
-    // What was asked before the stop was taken proves nothing: the answer may be older.
+    // An observation sent before the stop was accepted proves nothing: it may have been executed
+    // before the stop.
     REQUIRE(site.state.pendingObservations.size() == 1);
     site.seen(site.state.pendingObservations.begin()->first, 34);
     CHECK(site.isKnown(first.run));
@@ -709,11 +718,11 @@
     CHECK(lastOf<CallStart>(tick(site.state, at(63))).has_value());
 }
 
-TEST_CASE("An agent that has not seen its backend server free starts nothing")
+TEST_CASE("An agent that has not observed its backend server without runs starts nothing")
 {
-    // A new process finds a run of the former one, whose task may be on its way to another
-    // agent or back to this one. It gives orders back until the run has been stopped and is
-    // gone.
+    // A new process finds a run of the previous one, whose task may be ordered at another agent
+    // or at this one again. It returns orders until the run has been stopped and is no longer
+    // observed.
     Fixture site;
     site.state.isClean = false;
     const Effects effects = site.orderFrom(Gateway, "a.0.0", 30);
@@ -732,9 +741,9 @@
     CHECK_FALSE(site.state.isClean);
 }
 
-TEST_CASE("The end of an earlier run does not end the one that has its task")
+TEST_CASE("The end of an earlier run does not end the present run of its task")
 {
-    // A stopped run is listed as ended only after the task has come back and started here anew.
+    // A stopped run is listed as ended only after the task was ordered here again and has started.
     Fixture site;
     site.state.usedNumbers["a.0.0"] = {1, 5};
     const CallStart start = site.order("a.0.0", 10);
@@ -751,10 +760,10 @@
     CHECK(site.isKnown(start.run));
 }
 
-TEST_CASE("A fence that is too low is raised until it is obeyed")
+TEST_CASE("A fence that is too low is raised until it is accepted")
 {
-    // The time of day was set back before the agent started. Its backend server obeys none of
-    // its calls and may still obey late ones of the former process.
+    // The time of day was set back before the agent started. Its backend server rejects all of
+    // its calls and may still accept late ones of the previous process.
     Fixture site;
     site.order("a.0.0", 10);
     const std::int64_t before = site.state.fence;
@@ -762,10 +771,10 @@
     CHECK(site.state.fence >= before + FenceStepMs);
 }
 
-TEST_CASE("An observation that overtook a start does not give the run up")
+TEST_CASE("An observation that overtook a start does not end the run")
 {
-    // The start is slow; an observation that was sent after it is carried out before it and
-    // does not show the run. The run is there all the same.
+    // The start is slow; an observation that was sent after it is executed before it and does not
+    // show the run. The run exists nevertheless.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     const auto observeCall = lastOf<CallObserve>(tick(site.state, at(40)));
@@ -775,9 +784,9 @@
     CHECK(site.isKnown(start.run));
 }
 
-TEST_CASE("Observations from before a start do not give the run up")
+TEST_CASE("Observations sent before a start do not end the run")
 {
-    // Answers come late, two of them at once, and after a start that none of them can show.
+    // Two answers arrive late, after a start that neither of them can show.
     Fixture site;
     const CallStart previous = site.order("a.0.0", 10);
     site.answer(previous, 12);
@@ -792,10 +801,10 @@
     CHECK(site.isKnown(start.run));
 }
 
-TEST_CASE("A gateway whose grant has lapsed has nothing running any more")
+TEST_CASE("Runs of a gateway whose grant has lapsed are stopped")
 {
-    // The gateway lost power, and its link breaks for nobody. Its callers submit again
-    // elsewhere 1.3 s later; the agent has to stop what it had ordered without being told.
+    // The gateway lost power, and its connection is not closed. Its callers submit again
+    // elsewhere 1.3 s later; the agent has to stop the runs that it had ordered by itself.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     site.answer(start, 12);
@@ -809,8 +818,8 @@
 
 TEST_CASE("A run past its deadline is stopped by its agent alone")
 {
-    // The gateway's withdrawal is lost with its link. Its caller gives up at the deadline and
-    // submits again elsewhere: nothing of the job may run by then.
+    // The gateway's withdrawal is lost with its link. Its caller times out at the deadline and
+    // submits again elsewhere: no task of the job may run by then.
     Fixture site;
     const CallStart start = site.order("a.0.0", 10);
     site.answer(start, 12);
@@ -820,17 +829,17 @@
     CHECK(stop->number == start.start.number);
 }
 
-TEST_CASE("A task that comes back gets a higher run number")
+TEST_CASE("A task that is ordered again gets a higher run number")
 {
-    // It was stopped here with run 1, whose start may still be on its way. Submitted again at
-    // another gateway it comes as attempt 1 again: run 1 would be rejected for good, or taken
-    // for the one that is on its way.
+    // Run 1 of the task was stopped here, and its start may still take effect late. After a new
+    // submission at another gateway the task is ordered as attempt 1 again. A second run 1 would
+    // be rejected for good, or mistaken for the late one.
     Fixture site;
     const CallStart first = site.order("a.0.0", 10);
     Transient::StartAnswer unanswered;
     startAnswered(site.state, first.run, first.start.number, unanswered, at(160));
     REQUIRE(lastOf<CallStop>(tick(site.state, at(160))).has_value());
-    // It is not there yet, and nothing bars it: its start may be carried out any time.
+    // The run is not observed yet, and no stop was accepted: its start may be executed any time.
     REQUIRE(site.state.pendingObservations.size() == 1);
     site.seen(site.state.pendingObservations.begin()->first, 161);
     CHECK(site.isKnown(first.run));
@@ -842,11 +851,12 @@
     CHECK(site.order("a.0.0", 1500).start.number > first.start.number);
 }
 
-TEST_CASE("An answer of a former life changes nothing for the one that has its place")
+TEST_CASE("A late answer of a previous incarnation changes nothing for the present one")
 {
-    // An observation was answered by a life that ended then; the agent takes the answer in only
-    // after the next life has been announced and has begun a task. It takes the answer for yet
-    // another life, which knows nothing of the task, and gives it up while it runs.
+    // An incarnation answers an observation and ends. The agent processes the answer only after the
+    // next incarnation has been announced and has started a task. If the agent took the answer for
+    // that of a third incarnation, which does not have the task, it would end the run while it goes
+    // on.
     Fixture site;
     site.answer(site.order("a.0.0", 10), 12);
     const auto previous = lastOf<CallObserve>(tick(site.state, at(100)));
@@ -870,9 +880,9 @@
 
 TEST_CASE("A start that was answered renews what runs beside it")
 {
-    // No observation comes through for most of a lease; then a start does, taken or not, and
-    // with it everything there has a lease from then on. What ran before is not over before
-    // that ends.
+    // No observation reaches the backend server for most of a lease. Then a start does, and whether
+    // it is accepted or rejected, all runs there may have a new lease from then on. The earlier run
+    // is not ended before that lease lapses.
     for (const StartOutcome outcome : {StartOutcome::Started, StartOutcome::NumberUsed}) {
         CAPTURE(Common::nameOf(Transient::StartOutcomeNames, outcome));
         Fixture site;
@@ -891,11 +901,11 @@
     }
 }
 
-TEST_CASE("What a former process left is not renewed while its stops go unanswered")
+TEST_CASE("A run of a previous agent process is not renewed while its stops are unanswered")
 {
-    // An agent's new process finds a run that nobody here wants. Its stops are lost; each look
-    // would prolong the lease, and gateways have the task started elsewhere once the former process
-    // counts as over.
+    // A new process of an agent finds a run that no gateway ordered from it. The stops of the run
+    // are lost. If each observation prolonged the lease, the run would go on after the gateways
+    // treat the previous process as ended and start the task elsewhere.
     for (const bool hasOwnRun : {false, true}) {
         CAPTURE(hasOwnRun);
         Fixture site;
@@ -914,14 +924,15 @@
                 answerObservation(site, call->observation, nowMs + 1, 1, active);
             }
         }
-        // The first look is 26 ms after the start; 150 ms are for a stop to be taken.
+        // The first observation is sent 26 ms after the start; a stop may take 150 ms to be
+        // accepted.
         CHECK(leaseUntilMs <= (hasOwnRun ? 26 + 150 + 20 + LeaseMs : 0));
         answerObservation(site, nextObservation(site, 3000), 3100, 1, {});
         CHECK(site.state.strays.empty());
     }
 }
 
-TEST_CASE("A task waits while a run of it that nobody wants is left")
+TEST_CASE("A task waits while an unwanted run of it is left")
 {
     Fixture site;
     const CallStart other = site.order("z.0.0", 10);
@@ -933,10 +944,11 @@
     CHECK(lastOf<CallStart>(tick(site.state, at(91))).has_value());
 }
 
-TEST_CASE("An agent looks until what nobody wants is gone")
+TEST_CASE("An agent observes until unwanted runs have ended")
 {
-    // A run that nobody wants is shown by the last look that was needed. It ends; without another
-    // look the agent would hold all starts back for it, and its callers would wait for good.
+    // The last observation that was needed for the agent's own runs shows an unwanted run. That run
+    // ends; without another observation the agent would hold back all starts because of it, and its
+    // callers would wait without end.
     Fixture site;
     const CallStart own = site.order("z.0.0", 10);
     site.answer(own, 12);
@@ -955,7 +967,7 @@
     CHECK(lastOf<CallStart>(site.orderFrom(Gateway, "b.0.0", 1000)).has_value());
 }
 
-TEST_CASE("What nobody wanted of a former life holds nothing up in the next")
+TEST_CASE("Unwanted runs of a previous incarnation hold back no start in the next")
 {
     Fixture site;
     const CallStart own = site.order("z.0.0", 10);
--- a/Source/UnitTests/Transient/SafeguardTest.cpp
+++ b/Source/UnitTests/Transient/SafeguardTest.cpp
@@ -17,7 +17,7 @@
     }
 }
 
-/// An agent is frozen with orders in its sockets, past the time at which its tasks run elsewhere.
+/// An agent is frozen with orders in its sockets, until its tasks run elsewhere.
 void freezeWithOrders(World &world, std::int64_t forMs)
 {
     constexpr std::int64_t AfterwardsMs = 5500;
@@ -26,7 +26,7 @@
     runFor(world, forMs + AfterwardsMs);
 }
 
-/// The gateways' connections to an agent break, and it goes on.
+/// The connections of the gateways to an agent break while the agent keeps working.
 void breakLinks(World &world, std::int64_t afterMs)
 {
     submitToAll(world, 6);
@@ -37,7 +37,7 @@
     runFor(world, 8000);
 }
 
-/// An agent is killed and follows itself within \a afterMs.
+/// An agent is killed, and its next process starts after \a afterMs.
 void replaceAgent(World &world, std::int64_t afterMs)
 {
     submitToAll(world, 6);
@@ -48,7 +48,7 @@
     runFor(world, 5000);
 }
 
-/// The same, while orders are carried out seconds late.
+/// The same, while orders are executed seconds late.
 void replaceAgentWithLateOrders(World &world, std::int64_t afterMs)
 {
     world.lateLeasesCountFromArrival = true;
@@ -65,7 +65,7 @@
     runFor(world, 12'000);
 }
 
-/// A gateway loses power, and two agents do so just before its grants lapse.
+/// A gateway loses power, and two agents lose power just before its grants lapse.
 void losePowerInTurn(World &world, std::int64_t afterMs)
 {
     constexpr std::int64_t BetweenMs = 690;
@@ -80,16 +80,16 @@
     runFor(world, AfterwardsMs);
 }
 
-/// Past the time after which no start takes effect any more that was not answered: what a frozen
-/// agent finds in its sockets then runs elsewhere.
+/// The longest ones exceed the time after which an unanswered start can no longer take effect. The
+/// tasks that are ordered in the sockets of a frozen agent run elsewhere by then.
 const std::vector<std::int64_t> LongTimesMs{900, 2000, 3500, 13'800, 14'200, 14'600};
 
 using Scenario = std::function<void(World &, std::int64_t)>;
 
-/// An agent that is away for longer is given up: what it had ordered is taken to be over.
+/// An agent that is away for longer is treated as lost, and its runs as ended.
 const std::vector<std::int64_t> ShortTimesMs{100, 300, 900, 1200, 1500};
 const std::vector<std::int64_t> AllTimesMs{100, 300, 900, 1200, 1500, 1800, 2000, 2500, 3500};
-/// The ages that a gateway's last sign of life may have when it loses power.
+/// Times of the power loss. They cover all ages that the last heartbeat of the gateway may have.
 const std::vector<std::int64_t> HeartbeatTimesMs{200, 210, 220, 230, 240, 250, 260, 270, 280,
                                                  290, 300, 310, 320, 330, 340, 350, 360, 370,
                                                  380, 390, 400, 410, 420, 430, 440, 450};
@@ -139,9 +139,9 @@
 
 TEST_CASE("An agent is away for seconds while orders take effect late and with fresh leases")
 {
-    // The agent is killed with an unanswered start on its way. Its leases lapse after 1.7 s; then
-    // the start takes effect, its lease counted from its arrival, and no new process of the agent
-    // has raised the fence yet. Had the gateway given the task to another agent by then, it would
-    // run twice at a time. It waits for the new process instead.
+    // The agent is killed while a start is unanswered. Its leases lapse after 1.7 s. Then the start
+    // takes effect, with a lease that counts from its arrival, and no new process of the agent has
+    // raised the fence yet. If the gateway gave the task to another agent by then, the task would
+    // run twice at a time. Therefore it waits for the new process.
     CHECK(countViolations({}, replaceAgentWithLateOrders, AllTimesMs) == 0);
 }
--- a/Source/UnitTests/Transient/SitePropertyTest.cpp
+++ b/Source/UnitTests/Transient/SitePropertyTest.cpp
@@ -95,7 +95,7 @@
     return stream << Common::nameOf(CommandNames, kind);
 }
 
-/// Faults are rarer than work, or nothing would ever be served.
+/// Faults are rarer than submissions; otherwise no job would be served.
 rc::Gen<Command> anyCommand()
 {
     using rc::gen::weightedElement;
@@ -114,8 +114,8 @@
     return PropertyCheck::anyCommand(kind);
 }
 
-/// Backend servers that refuse, fall silent or begin anew while they work on, beside what befalls
-/// processes and links.
+/// Faults of processes, links and clocks, calls that are unanswered or executed late, and backend
+/// servers that refuse calls, do not answer, hang, restart or cannot be reached.
 rc::Gen<Command> anyCommandWithTrouble()
 {
     using rc::gen::weightedElement;
@@ -155,7 +155,8 @@
     return PropertyCheck::anyCommand(kind);
 }
 
-/// The same, and lives of backend servers that end early or are heard late.
+/// The same, and backend servers that are replaced or end early, messages of previous incarnations
+/// that arrive late, and late orders that reach the next incarnation.
 rc::Gen<Command> anyCommandWithIncarnations()
 {
     using rc::gen::weightedElement;
@@ -196,7 +197,7 @@
     }
 }
 
-/// Trouble of a backend server that works on.
+/// Sets a fault of a backend server whose runs continue.
 void trouble(World &world, ModelBackend &backend, const Command &command)
 {
     constexpr double NumberRange = 1000;
@@ -204,7 +205,7 @@
     const std::int64_t untilMs = world.nowMs + MaxTroubleMs * command.first / 1000;
     switch (command.kind) {
     case CommandKind::RefuseCalls:
-        // Every second time it refuses everything.
+        // In half of the cases it refuses every call.
         backend.trouble.refusedShare = std::min(1.0, 2 * command.first / NumberRange);
         break;
     case CommandKind::MuteBackend:
@@ -229,7 +230,7 @@
                1 + static_cast<int>(command.second % 5), 800 + command.first * 4);
         break;
     case CommandKind::SubmitLong:
-        // It outlasts the time after which a caller submits again elsewhere.
+        // Its tasks may still run when a caller whose connection broke submits again elsewhere.
         submit(world, gateway, {1000 + 3 * command.second, 1.0 + command.first % 2, false},
                1 + static_cast<int>(command.second % 4), 3000 + command.first * 4);
         break;
@@ -327,7 +328,7 @@
     runFor(world, 5 + command.second % 50);
 }
 
-/// After the faults everything works again and a job is served.
+/// Ends all faults, and reports a violation if a job that is submitted afterwards does not succeed.
 void healAndFinish(World &world)
 {
     world.partitions.clear();
@@ -351,7 +352,7 @@
     runFor(world, ServeMs);
     const Caller &caller = world.callers[last];
     if (!caller.isAnswered || caller.result.outcome != Transient::JobOutcome::Succeeded) {
-        world.violations.push_back("not served after the last fault");
+        world.violations.push_back("job did not succeed after the last fault");
     }
 }
 
@@ -380,7 +381,7 @@
     return play(commands, seed, nullptr);
 }
 
-/// Of lists as a search prints them: kind(first,second), parted by blanks.
+/// Parses a list as a search prints it: kind(first,second), separated by blanks.
 std::vector<Command> parseCommands(const std::string &text)
 {
     std::vector<Command> commands;
@@ -405,7 +406,7 @@
 
 } // namespace
 
-TEST_CASE("Lists of commands that have broken a promise break none")
+TEST_CASE("Command lists that once violated an invariant violate none")
 {
     struct Row
     {
--- a/Source/UnitTests/Transient/SiteStoryTest.cpp
+++ b/Source/UnitTests/Transient/SiteStoryTest.cpp
@@ -48,8 +48,8 @@
 {
     // The caller's connection breaks, and after 1,300 ms it submits the same job at another
     // gateway. The agents have lost the first gateway and have stopped its runs by then, so that no
-    // task runs twice at a time. A gateway that loses power tells nobody: its agents notice by the
-    // grant that lapses.
+    // task runs twice at a time. The connections of a gateway that loses power are not closed: its
+    // agents stop its runs when its grant lapses.
     for (const bool closesConnections : {true, false}) {
         CAPTURE(closesConnections);
         auto world = readySite(2);
@@ -64,8 +64,9 @@
 
 TEST_CASE("The caller leaves: nothing of its job runs on")
 {
-    // The connection of a patrol breaks; it will call again elsewhere. What was started for it is
-    // stopped within the time that a call back takes, also where the stop's answer is lost.
+    // The caller's connection breaks, and it may submit the job at another gateway. The runs of
+    // the job are stopped before the caller could submit again, also where the answer to a stop is
+    // lost.
     auto world = readySite(3);
     const std::size_t caller = submit(*world, 0, Long, 8);
     runFor(*world, 200);
@@ -80,9 +81,10 @@
 
 TEST_CASE("An agent is frozen with orders in its sockets")
 {
-    // The gateway gives the silent agent up and has its tasks run elsewhere; the lease of what the
-    // frozen agent had started lapses meanwhile. When it wakes it finds the old orders in its
-    // sockets. They are past the gateway's grant, and it starts none of them.
+    // The gateway treats the silent agent as lost and runs its tasks elsewhere. Meanwhile the lease
+    // of the runs that the frozen agent had started lapses. When the agent resumes, it reads the
+    // old orders from its sockets. The gateway's grant has lapsed by then, so it starts none of
+    // them.
     for (const std::int64_t forMs : {900, 1500, 2500, 2600, 2800, 3500}) {
         CAPTURE(forMs);
         auto world = readySite(4);
@@ -101,11 +103,11 @@
     }
 }
 
-TEST_CASE("A gateway is frozen past its callers' patience")
+TEST_CASE("A gateway is frozen for longer than its callers wait")
 {
-    // The callers give up and submit again elsewhere, where their tasks run. When the gateway wakes
-    // it hears that its agents have stopped everything; its callers have gone, so that it starts
-    // nothing again.
+    // The callers time out and submit again elsewhere, where their tasks run. When the gateway
+    // resumes, its agents report that they have stopped everything. Its callers have disconnected,
+    // so it starts nothing again.
     auto world = readySite(5);
     const std::size_t caller = submit(*world, 0, Long, 6, 2500);
     runFor(*world, 300);
@@ -117,8 +119,8 @@
 
 TEST_CASE("Orders to the backend server go unanswered and are carried out late")
 {
-    // One call in five gets no answer; half of these take effect seconds later. An unanswered start
-    // is settled by a stop before the task goes elsewhere, so that its late start is rejected.
+    // One call in five gets no answer; half of these take effect seconds later. The agent stops an
+    // unanswered start before the task goes elsewhere, so that the late start is rejected.
     auto world = readySite(6);
     world->unansweredShare = 0.2;
     std::vector<std::size_t> callers;
@@ -137,8 +139,8 @@
 
 TEST_CASE("A backend server crashes and comes back under the same id")
 {
-    // It knows nothing of before: its clock, its ends and its run numbers start anew. What ran
-    // there runs again elsewhere, and the agent serves the new life.
+    // Its clock, its list of ends and its run numbers start from zero. What ran there runs again
+    // elsewhere, and the agent uses the new incarnation.
     auto world = readySite(7, 1, 2);
     const std::size_t caller = submit(*world, 0, Long, 8, 8000);
     runFor(*world, 200);
@@ -155,9 +157,9 @@
 
 TEST_CASE("An agent is killed and another process takes its place")
 {
-    // Its runs go on at the backend server until their lease lapses or the new process stops them.
-    // Only when the new process has seen that nothing is left does it take orders, and only then
-    // are the tasks free to run elsewhere.
+    // Its runs continue at the backend server until their lease lapses or the new process stops
+    // them. The new process accepts orders only after it has observed that no run is left, and only
+    // then may the tasks run elsewhere.
     for (const bool closesConnections : {true, false}) {
         CAPTURE(closesConnections);
         auto world = readySite(8);
@@ -174,8 +176,8 @@
 
 TEST_CASE("A connection is reset or goes silent while tasks run")
 {
-    // After a reset the link is back at once and what ran goes on; what was told on the lost
-    // connection is told again. A silent connection is found out by the beats that are missing.
+    // After a reset the agent reconnects at once and its runs go on; what was sent on the lost
+    // connection is sent again. A silent connection is detected by its missing heartbeats.
     for (const bool isReset : {true, false}) {
         CAPTURE(isReset);
         auto world = readySite(9);
@@ -214,8 +216,9 @@
 
 TEST_CASE("A backend server fails everything it starts")
 {
-    // It looks idle, since everything there is over at once. Its failures go elsewhere and it gets
-    // no more work; jobs that can be done succeed, and one that cannot is told so.
+    // It looks idle, since every task there ends at once. Its failed tasks are retried elsewhere
+    // and it gets no more work. Jobs that can succeed do so, and a job whose task always fails is
+    // answered as failed.
     auto world = readySite(11);
     world->backends[1].failsAll = true;
     int succeeded = 0;
@@ -262,9 +265,9 @@
 
 TEST_CASE("A backend server has left while its tasks run on")
 {
-    // It says that it has left and ends some 30 ms later; what runs there runs on until then. Its
-    // agent takes everything to be over at once, and the gateway has the tasks start elsewhere:
-    // each runs twice at a time until the end comes.
+    // It announces that it has left and ends 30 ms later; its runs continue until then. If its
+    // agent treated the runs as ended at once, the gateway would start the tasks elsewhere, and
+    // each would run twice at a time until the backend server ends.
     auto world = readySite(13, 1, 2);
     const std::size_t caller = submit(*world, 0, Long, 8, 8000);
     runFor(*world, 200);
@@ -274,11 +277,12 @@
     checkInvariants(*world);
 }
 
-TEST_CASE("A former life of a backend server is heard after the one that has its place")
+TEST_CASE("A message of a previous incarnation arrives after the next one has started")
 {
-    // A message of the former life was delayed; the new life has been announced and has begun
-    // tasks by the time it arrives. The agent takes the late one for yet another life, which knows
-    // nothing of these tasks: it gives them up while they run, and they start elsewhere as well.
+    // A message of the previous incarnation was delayed; the new incarnation has been announced
+    // and has started tasks by the time it arrives. If the agent took it for a third incarnation
+    // that has none of these tasks, it would report them as lost while they run, and they would
+    // start elsewhere as well.
     auto world = readySite(14, 1, 2);
     crashBackend(*world, 0);
     runFor(*world, 2000);
@@ -294,9 +298,9 @@
 
 TEST_CASE("A gateway loses power and then an agent dies: its caller submits again elsewhere")
 {
-    // The agent acts for the dead gateway until its grant lapses, and dies just before that. What
-    // it had started runs on for the lease that it renewed last. The caller saw its connection
-    // break and submits the same job again elsewhere, before that lease has lapsed.
+    // The agent acts for the stopped gateway until its grant lapses, and loses power just before
+    // that. Its runs continue until the lease that it renewed last has lapsed. The caller's
+    // connection broke, and it submits the same job elsewhere before that lease has lapsed.
     constexpr std::int64_t BetweenMs = 690;
     for (std::int64_t afterMs = 200; afterMs < 450; afterMs += 10) {
         CAPTURE(afterMs);
@@ -312,12 +316,12 @@
     }
 }
 
-TEST_CASE("A backend server refuses stops and takes renewals after a gateway was killed")
+TEST_CASE("A backend server refuses stops and accepts renewals after a gateway was killed")
 {
-    // The agent wants to stop what the dead gateway had ordered. Its backend server refuses most
-    // calls: no stop for a second, but now and then an observation, and each renews the lease of
-    // everything that runs there. The caller submits again elsewhere, and its tasks start while the
-    // former ones run on.
+    // The agent has to stop the runs that the killed gateway had ordered. Its backend server
+    // refuses most calls. If it accepts no stop for a second but some observations, and each of
+    // these renews the lease of everything that runs there, the tasks of the caller's second
+    // submission start elsewhere while the first runs continue.
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         CAPTURE(seed);
         auto world = readySite(seed, 3, 4);
@@ -337,11 +341,12 @@
     }
 }
 
-TEST_CASE("An unanswered start is given up while no connection can be made")
+TEST_CASE("No connection can be made while a start is unanswered and takes effect late")
 {
-    // The start is on its way for seconds, and its stop cannot be delivered. After a lease the
-    // agent takes everything there to have lapsed, the unanswered start, too, and the task starts
-    // elsewhere. Then the late start is carried out, with a lease that counts from its arrival.
+    // The start takes effect seconds later, and its stop cannot be delivered. If the agent treated
+    // everything there as lapsed after one lease, the unanswered start as well, the task would
+    // start elsewhere. Then the late start would be executed, with a lease that counts from its
+    // arrival.
     auto world = readySite(16, 1, 2);
     world->lateLeasesCountFromArrival = true;
     world->unansweredShare = 0.5;
--- a/Source/UnitTests/Transient/TransientWorld.cpp
+++ b/Source/UnitTests/Transient/TransientWorld.cpp
@@ -64,7 +64,7 @@
 
 void reportViolation(World &world, const std::string &what)
 {
-    writeTrace(world, "broken", what);
+    writeTrace(world, "violation", what);
     world.violations.push_back(std::to_string(world.nowMs) + ": " + what);
 }
 
@@ -88,7 +88,7 @@
     return world.backends[static_cast<std::size_t>(index)];
 }
 
-/// A frozen process takes its messages in when it wakes, in their order.
+/// Runs \a event at once, or when a frozen process resumes. Held events run in their order.
 template <typename Process>
 void deliver(const World &world, Process &process, std::function<void()> event)
 {
@@ -107,7 +107,7 @@
 void carryOut(World &world, int gateway, const Transient::Effects &effects);
 void carryOut(World &world, int agent, const Runner::Effects &effects);
 
-/// What the oracle sees of a start.
+/// Reports a violation where the task already runs, or where its job was refused for good.
 void checkStart(World &world, int backendIndex, const Transient::RunStart &start)
 {
     ++world.starts;
@@ -116,13 +116,13 @@
             const bool isSame =
                     static_cast<int>(index) == backendIndex && run.number == start.number;
             if (world.backends[index].isUp && run.task == start.task && !isSame) {
-                reportViolation(world, "two runs at a time: " + start.task);
+                reportViolation(world, "task has two runs at the same time: " + start.task);
             }
         }
     }
     const std::string job = start.task.substr(0, start.task.find('.'));
     if (world.finallyRefused.count(job) != 0) {
-        reportViolation(world, "refused, but started: " + job);
+        reportViolation(world, "job was refused but a task of it started: " + job);
     }
 }
 
@@ -156,12 +156,13 @@
 
 enum class CallFailure { Unanswered, NotConnected, Refused };
 
-/// A call on its way. Its first end counts, and goes to the process that made it.
+/// A call to a backend server that has not ended. Only its first end counts. It is handled by the
+/// agent process that made the call, and ignored if that process has ended.
 struct Call
 {
     int agent = 0;
     std::string instance;
-    /// Life of the backend server that it was meant for.
+    /// Start time of the backend server incarnation that the call was sent to.
     std::int64_t backendStartedAtMs = 0;
     bool isAnswerLost = false;
     bool isEnded = false;
@@ -197,14 +198,16 @@
     }
 }
 
-/// Runs \a execute at the backend server, which ends the call by answerCall or later.
+/// Runs \a execute at the backend server, unless it hangs. \a execute ends the call, at once or
+/// later. The call fails if the incarnation that it was sent to has ended, unless it is late
+/// and late orders reach the next incarnation.
 void arriveAtBackend(World &world, const CallPtr &call, bool isLate,
                      const std::function<void(const CallPtr &)> &execute)
 {
     const ModelBackend &target = backendAt(world, call->agent);
     const bool isOtherIncarnation = target.startedAtMs != call->backendStartedAtMs;
     if (!target.isUp || (isOtherIncarnation && !(isLate && world.lateOrdersReachNextIncarnation))) {
-        // The connection breaks with its end.
+        // The connection closed when the incarnation ended.
         failCallIn(world, 1, call, CallFailure::Unanswered);
         return;
     }
@@ -213,8 +216,8 @@
     }
 }
 
-/// The call fails with \a failed, after the timeout at the latest, at the agent, which may have
-/// died meanwhile.
+/// Sends a call to the backend server of an agent. Calls \a failed if the call is not answered
+/// within \a timeoutMs or fails earlier, unless the agent process has ended meanwhile.
 void callBackend(World &world, int agent, std::int64_t timeoutMs,
                  const std::function<void(const CallPtr &)> &execute,
                  const std::function<void(CallFailure)> &failed)
@@ -304,7 +307,7 @@
                                                 fence, world.nowMs);
                 writeTrace(world, backendAt(world, agent).id,
                            "stop " + effect.task + " number=" + std::to_string(effect.number)
-                                   + (accepted ? " taken" : " fenced"));
+                                   + (accepted ? " accepted" : " fenced"));
                 answerCall(world, call, [handleAnswer, accepted] { handleAnswer(accepted); });
             },
             [handleAnswer](CallFailure) { handleAnswer(false); });
@@ -318,7 +321,7 @@
                                      moment(world)));
 }
 
-/// Answers as soon as there is an end, or when the wait is over.
+/// Answers as soon as there is a new end, or when the wait is over.
 void waitForEnds(World &world, const CallPtr &call, const Runner::CallObserve &effect,
                  std::int64_t fence, std::int64_t untilMs)
 {
@@ -383,7 +386,8 @@
     }
 }
 
-/// A frame from agent to gateway, on the connection as it is now.
+/// Sends a frame from the agent to the gateway on the present connection. The frame is lost if that
+/// connection has been closed or replaced when the gateway handles it.
 void sendToGateway(World &world, int gateway, int agent, const Frame &frame)
 {
     SiteLink &link = linkOf(world, gateway, agent);
@@ -530,7 +534,8 @@
             continue;
         }
         if (answer.job != caller.job) {
-            reportViolation(world, "answer of " + answer.job + " reached " + caller.job);
+            reportViolation(world,
+                            "answer to " + answer.job + " was sent to the caller of " + caller.job);
         }
         caller.isAnswered = true;
         caller.gateway = -1;
@@ -603,7 +608,8 @@
     }
 }
 
-/// One end closes; the other sees it, unless the connection swallows it.
+/// One end closes the connection. The other end is notified after 2 ms, unless the connection is
+/// silent or partitioned.
 void closeLink(World &world, int gateway, int agent, bool byAgent)
 {
     SiteLink &link = linkOf(world, gateway, agent);
@@ -647,7 +653,8 @@
         return;
     }
     if (link.gatewayUp) {
-        // The gateway still holds the former connection; it takes the agent as met anew.
+        // The gateway still has the previous connection. It closes it and treats the agent as newly
+        // connected.
         closeGatewayEnd(world, gateway, agent);
     }
     const std::int64_t nextDialMs = link.nextDialMs;
@@ -661,7 +668,7 @@
     sendHeartbeat(world, gateway, agent);
 }
 
-/// Heartbeats between gateways.
+/// Sends the heartbeats of gateway \a from to the other gateways.
 void sendGatewayHeartbeats(World &world, int from)
 {
     SiteGateway &sender = gatewayAt(world, from);
@@ -847,7 +854,7 @@
     announcement.resources.memoryMb = 1 << 20;
     announcement.startedAtMs = backend.startedAtMs;
     announcement.leaving = backend.isLeaving;
-    // Its count starts anew with each life.
+    // The sequence restarts with each incarnation.
     announcement.sequence = world.nowMs + 2 - backend.startedAtMs;
     return announcement;
 }
@@ -876,7 +883,7 @@
     for (ModelBackend &backend : world.backends) {
         advance(backend, world.nowMs);
     }
-    // A process that wakes reads what is in its sockets before it notices how late it is.
+    // A process that resumes reads its sockets before it checks the time.
     for (SiteGateway &gateway : world.gateways) {
         processHeldEvents(world, gateway);
     }
--- a/Source/UnitTests/Transient/TransientWorld.h
+++ b/Source/UnitTests/Transient/TransientWorld.h
@@ -14,9 +14,8 @@
 #include "Runner/Runner.h"
 #include "Transient/Transient.h"
 
-/// A site of gateways, agents and backend servers in virtual time, with callers that submit again
-/// when their connection breaks, and an oracle that knows only what callers and backend servers
-/// see.
+/// A site of gateways, agents and backend servers in virtual time. Callers submit again when their
+/// connection breaks. Invariants are checked only on what callers and backend servers observe.
 namespace TransientSite {
 
 using Transient::ResubmitMs;
@@ -24,12 +23,12 @@
 struct Caller
 {
     std::string job;
-    /// Of each of its tasks.
+    /// What each task of the job does.
     ModelWork work;
     int tasks = 1;
     std::int64_t remainingTimeoutMs = 2000;
     std::int64_t submittedMs = 0;
-    /// Where it waits for an answer; -1 while it does not.
+    /// Index of the gateway that it waits for; -1 while it does not wait.
     int gateway = -1;
     std::string token;
     bool isAnswered = false;
@@ -39,14 +38,15 @@
     std::int64_t answeredMs = 0;
 };
 
-/// What an agent and a gateway have of a link. A link of another number is another connection.
+/// State of the link between an agent and a gateway at both ends. Each connection has its own
+/// number.
 struct SiteLink
 {
     std::uint64_t number = 0;
     bool agentUp = false;
     bool gatewayUp = false;
     bool announced = false;
-    /// Frames are swallowed without a word.
+    /// Frames are lost, and neither end learns that the other has closed.
     bool isSilent = false;
     std::int64_t agentLastReceivedMs = 0;
     std::int64_t gatewayLastReceivedMs = 0;
@@ -54,7 +54,7 @@
     std::int64_t gatewaySentMs = 0;
     std::int64_t nextDialMs = 0;
     std::uint64_t reportedOrphansChange = 0;
-    /// Instance of the gateway, as the agent learned it.
+    /// Instance of the gateway, from its first announcement; empty before.
     std::string gatewayInstance;
     std::vector<Schema::AttemptState> unsent;
 };
@@ -64,7 +64,7 @@
     std::string instance;
     bool isUp = true;
     std::int64_t frozenUntilMs = 0;
-    /// To the other gateways.
+    /// When it last sent heartbeats to the other gateways.
     std::int64_t sentMs = 0;
     Transient::GatewayState state;
     std::vector<std::function<void()>> heldEvents;
@@ -79,18 +79,19 @@
     std::vector<std::function<void()>> heldEvents;
 };
 
-/// Safeguards that a test switches off, to show that each is needed.
+/// Safeguards that a test can switch off to show that each is needed.
 struct Safeguards
 {
-    /// Agents act only on what a gateway has granted lately.
+    /// Agents act for a gateway only while its grant has not lapsed.
     bool grants = true;
-    /// A lost agent's tasks wait until nothing can run there any more.
+    /// The tasks of a lost agent are not started elsewhere while they may still run there.
     bool settling = true;
-    /// A new process of an agent tells when it has seen that nothing is left of the former one.
+    /// A new process of an agent announces itself as clean only after it has observed that no run
+    /// of the previous process is left.
     bool cleanStart = true;
-    /// A new process of an agent has a higher fence than the former one.
+    /// A new process of an agent has a higher fence than the previous one.
     bool fence = true;
-    /// Agents tell all gateways which jobs they hold for one that they do not hear.
+    /// Agents report to all gateways the jobs that they hold for a gateway that is silent.
     bool orphans = true;
 };
 
@@ -111,21 +112,22 @@
     /// Share of the calls to backend servers that get no answer; half of these are carried out 2 to
     /// 12 s later, the others at once.
     double unansweredShare = 0;
-    /// Time that a late order grants counts from its arrival.
+    /// A lease that a late order grants counts from its arrival.
     bool lateLeasesCountFromArrival = false;
-    /// The connection ends within 3 ms where an answer is lost; otherwise the caller waits for its
+    /// The connection closes within 3 ms where an answer is lost; otherwise the agent waits for its
     /// timeout.
     bool answersAreLostAtOnce = false;
-    /// A late order to a former life is carried out by the one that has its place.
+    /// A late order to a previous incarnation is executed by the present one.
     bool lateOrdersReachNextIncarnation = false;
-    /// By how much the time of day of agents was set. Their fences start from it.
+    /// By how much the time of day of the agents' machines was changed. The fence of a new agent
+    /// process is taken from that time.
     std::int64_t wallClockStepMs = 0;
     Safeguards safeguards;
 
-    /// Where all that happens is written down; null where it is not.
+    /// All events are written to it, unless it is null.
     std::ostream *trace = nullptr;
 
-    /// Promises found broken, in the order they broke.
+    /// Violated invariants, in the order in which they were found.
     std::vector<std::string> violations;
     std::set<std::string> finallyRefused;
     int starts = 0;
@@ -135,31 +137,35 @@
                                  const Safeguards &safeguards = {});
 void runFor(World &world, std::int64_t ms);
 
-/// Returns the caller's number.
+/// Submits a job of a new caller. Returns the index of the caller.
 std::size_t submit(World &world, int gateway, const ModelWork &work, int tasks,
                    std::int64_t remainingTimeoutMs = 2000);
-/// The caller closes its connection and does not come back.
+/// The caller closes its connection and does not submit again.
 void leave(World &world, std::size_t caller);
 
+/// Without \a closesConnections it loses power: its agents see no connection close. Callers that
+/// wait for it submit again in both cases.
 void killGateway(World &world, int gateway, bool closesConnections);
 void startGateway(World &world, int gateway);
 void freezeGateway(World &world, int gateway, std::int64_t forMs);
+/// Without \a closesConnections it loses power: the gateways see no connection close.
 void killAgent(World &world, int agent, bool closesConnections);
 void startAgent(World &world, int agent);
 void freezeAgent(World &world, int agent, std::int64_t forMs);
 void crashBackend(World &world, int backend);
 void restartBackend(World &world, int backend);
-/// Crashes, and another life has its place at once.
+/// Crashes the backend server and starts its next incarnation at once.
 void replaceBackend(World &world, int backend);
-/// A message that the former life had sent arrives.
+/// Delivers an announcement that the previous incarnation sent.
 void announcePreviousIncarnation(World &world, int backend);
-/// Says that it will leave, and works on.
+/// The backend server announces that it is leaving, and its runs continue.
 void backendLeaves(World &world, int backend);
-/// Says that it has left; what runs there runs on for \a afterMs.
+/// The backend server announces that it has left. Its runs continue for \a afterMs.
 void backendEnds(World &world, int backend, std::int64_t afterMs);
-/// The connection breaks, and both ends see it.
+/// The agent closes the connection. The gateway is notified after 2 ms, unless the link is silent
+/// or partitioned.
 void resetLink(World &world, int gateway, int agent);
-/// The connection swallows what is sent on it.
+/// From now on the connection loses everything that is sent on it.
 void silenceLink(World &world, int gateway, int agent);
 
 } // namespace TransientSite
