--- a/Source/UnitTests/Platform/BackendCallsTest.cpp
+++ b/Source/UnitTests/Platform/BackendCallsTest.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("A start on the wire names the task with its occurrence, and the life that is meant")
+TEST_CASE("A start on the wire contains the occurrence of the task and the expected incarnation")
 {
     const Net::HttpCall call = Platform::startCall({"10.0.0.1:80", "i-1"},
                                                    {"5c0e7a21d94b36f8.1.17", 2, "work", 900, 7});
@@ -109,7 +109,7 @@
     CHECK(answer.seen.ended[1].end == Transient::RunEnd::LeaseLapsed);
 }
 
-TEST_CASE("Observations that tell nothing")
+TEST_CASE("Observations that failed or are invalid")
 {
     struct Row
     {
--- a/Source/UnitTests/Platform/DaemonsTest.cpp
+++ b/Source/UnitTests/Platform/DaemonsTest.cpp
@@ -18,7 +18,7 @@
     return "127.0.0.1:" + std::to_string(port);
 }
 
-/// Looks until \a condition. False after a generous time.
+/// Waits until \a condition is true. False after 3,000 checks 10 ms apart.
 bool waitFor(const std::function<bool()> &condition)
 {
     constexpr int Rounds = 3000;
@@ -32,7 +32,7 @@
     return false;
 }
 
-/// A gateway, an agent and a backend server, as threads of this process.
+/// A gateway, an agent, a backend server and a store in this process.
 struct Site
 {
     explicit Site(bool hasQueues = true, const std::string &learned = {})
@@ -67,7 +67,7 @@
         settings.storeAddress = this->store.address();
         settings.maxBodyBytes = 262'144;
         settings.heartbeatMs = 250;
-        // Generous: the machine that runs the test may be busy.
+        // Long, since the machine that runs the test may be busy.
         settings.silenceMs = 5000;
         settings.leaseMs = 700;
         settings.stopTimeoutMs = 20'000;
@@ -156,7 +156,7 @@
 
 } // namespace
 
-TEST_CASE("A job goes its whole way through the real daemons")
+TEST_CASE("A job is processed by the real daemons")
 {
     Site site;
     REQUIRE(site.serves());
@@ -192,8 +192,8 @@
 
 TEST_CASE("Without a configuration nothing is answered as unknown")
 {
-    // A gateway that starts while the store is down cannot tell which queues there are: 404 would
-    // tell a caller that its queue is gone.
+    // A gateway that starts while the store is down does not know which queues exist: with 404 a
+    // caller would assume that its queue was removed.
     Site site(false);
     CHECK(site.call("POST", std::string("/checks/") + Job, Site::shortJob()).status == 503);
     CHECK_FALSE(site.isReady());
@@ -201,8 +201,8 @@
 
 TEST_CASE("The caller's connection closes, and what ran for it is stopped")
 {
-    // The caller gives up after 300 ms. Its tasks would run for 1.5 s; they end well before, and it
-    // may submit the job again at another gateway.
+    // The caller times out after 300 ms. Its tasks would run for 1.5 s. They are stopped well
+    // before that, so that the caller may submit the job again at another gateway.
     Site site;
     REQUIRE(site.serves());
     const int before = site.backend.starts();
@@ -213,10 +213,10 @@
     CHECK(site.call("GET", std::string("/checks/") + Job).status == 410);
 }
 
-TEST_CASE("A gateway that is told to stop answers what it has taken")
+TEST_CASE("A gateway that is asked to stop answers the jobs that it has accepted")
 {
-    // The job's caller is answered after the stop was asked for; the probe fails meanwhile, and the
-    // process ends when nothing is open any more.
+    // The job's caller is answered after the stop was requested. Meanwhile the readiness probe
+    // fails. The process ends when no request is open any more.
     Site site;
     REQUIRE(site.serves());
     Net::HttpResult result;
@@ -231,10 +231,11 @@
     CHECK(site.stoppedCleanly);
 }
 
-TEST_CASE("A gateway whose work has ended refuses what it is asked until it is gone")
+TEST_CASE("A gateway whose control thread has ended refuses requests until the process ends")
 {
-    // The control thread has ended, the servers still listen for a moment. A request that came then
-    // was taken, read by nobody, and cut off with the process; its caller learned nothing.
+    // After the control thread has ended, the servers still listen for a moment. A request that
+    // arrived then was accepted and never handled, and its connection closed with the process:
+    // its caller got no answer.
     Site site;
     REQUIRE(site.serves());
     site.stopGateway();
@@ -246,8 +247,8 @@
 
 TEST_CASE("The gateway is replaced by another process at its address")
 {
-    // The agent dials the address again and serves the new process, which has its configuration
-    // from the store.
+    // The agent connects to the address again and serves the new process, which reads its
+    // configuration from the store.
     Site site;
     REQUIRE(site.serves());
     site.stopGateway();
@@ -258,8 +259,8 @@
 
 TEST_CASE("A gateway starts with what others have learned, and passes it on")
 {
-    // All gateways were lost. The record of one of them tells that the backend server is slow; the
-    // new gateway has it from the store, beside a record that nobody can read.
+    // All gateways have ended. According to the record of one of them, the backend server is slow.
+    // The new gateway reads that record from the store, together with an invalid one.
     Schema::LearnedTimes learned;
     learned.gateway = "gateway-0-x";
     learned.writtenMs = 1;
@@ -281,7 +282,7 @@
     REQUIRE(site.serves());
     CHECK(site.backend.announce(site.registration, Service, true));
     const int before = site.backend.starts();
-    // Nobody else is able: the job is refused while nothing of it has run.
+    // No other backend server exists: the job is refused before any of its tasks has run.
     CHECK(waitFor([&site] {
         return site.call("POST", std::string("/checks/") + Job, Site::shortJob()).status == 503;
     }));
--- a/Source/UnitTests/Platform/FakePlatform.cpp
+++ b/Source/UnitTests/Platform/FakePlatform.cpp
@@ -18,7 +18,7 @@
 constexpr unsigned BitsPerByte = 8;
 /// Longer than any caller waits for an answer.
 constexpr std::chrono::seconds UnansweredDelay{8};
-/// Every so many orders or calls meet the fault that strikes some of them.
+/// Faults that affect only some calls affect one call in this number.
 constexpr int CallsPerFault = 4;
 
 std::int64_t nowMs()
@@ -345,7 +345,7 @@
 {
     this->advancedToMs = nowMs();
     this->model.startedAtMs = Common::currentMoment().wallMs;
-    // Its clock starts near zero, whatever the machine's does.
+    // Its clock starts near zero, independent of the machine's clock.
     this->model.clockOffsetMs = -TransientSite::clockOf(this->model, this->advancedToMs);
     this->server =
             Net::HttpServerBuilder()
@@ -567,8 +567,9 @@
     this->timers.after(TickInterval, [this] { this->tick(); });
 }
 
-/// Ends runs at their own times, however late this is called: a run whose lease lapsed does not
-/// count as running until somebody looked.
+/// Advances the model to the present time and reports the ends of runs. However late it is called,
+/// each end is reported with the time at which it was due, so that a run whose lease has lapsed
+/// does not count as running until the next call.
 void BackendServer::advanceModel()
 {
     const std::int64_t now = nowMs();
--- a/Source/UnitTests/Platform/FakePlatform.h
+++ b/Source/UnitTests/Platform/FakePlatform.h
@@ -14,11 +14,11 @@
 #include "Net/Net.h"
 #include "UnitTests/Transient/ModelBackend.h"
 
-/// The platform's store and a backend server over HTTP, in the platform's own forms, for tests of
-/// the real daemons.
+/// The platform's store and a backend server over HTTP, with the platform's own message formats,
+/// for tests of the real daemons.
 namespace FakePlatform {
 
-/// What is wrong with the store.
+/// Faults of the store.
 enum class StoreFault { Silent, Refusing, Slow, LosingAnswers };
 
 constexpr Common::NameTable<StoreFault, 4> StoreFaultNames{{{StoreFault::Silent, "silent"},
@@ -26,11 +26,11 @@
                                                             {StoreFault::Slow, "slow"},
                                                             {StoreFault::LosingAnswers, "lose"}}};
 
-/// Keeps topics of records with keys, from offset 0 on, and the newest record of each key.
+/// Stores topics of records with keys, from offset 0 on, and the newest record of each key.
 class Store
 {
 public:
-    /// \a port 0 takes a free one.
+    /// Port 0 selects a free port.
     explicit Store(std::uint16_t port = 0);
     ~Store();
     Store(const Store &) = delete;
@@ -41,20 +41,20 @@
     void setQueues(const std::string &text);
     void setSilent(bool silent);
     void setFault(StoreFault fault, bool on);
-    /// From now on takes no address of a gateway in, though it says so.
+    /// From now on acknowledges the addresses of gateways without storing them.
     void dropGatewayRecords();
-    /// Drops the history; the newest record of each key stays.
+    /// Removes all records, which raises the first offset. The newest record of each key is kept.
     void dropHistory();
     int writes() const;
     void setLearned(const std::string &key, const std::string &value);
-    /// Empty where nobody has written it.
+    /// Newest value of the key; empty if none was written.
     std::string learned(const std::string &key) const;
 
 private:
     struct Topic
     {
         std::int64_t firstOffset = 0;
-        /// As they stand on the wire, from firstOffset on.
+        /// In the wire format, from firstOffset on.
         std::vector<std::string> records;
         std::map<std::string, std::string> newest;
     };
@@ -89,7 +89,7 @@
     std::unique_ptr<Net::HttpServer> server;
 };
 
-/// What is wrong with a backend server.
+/// Faults of a backend server.
 enum class BackendFault {
     Silent,
     Refusing,
@@ -111,30 +111,30 @@
          {BackendFault::Hanging, "hang"},
          {BackendFault::Failing, "fail"}}};
 
-/// A run began or ended on a backend server.
+/// The start or end of a run on a backend server.
 struct RunEvent
 {
     std::int64_t steadyMs = 0;
     std::string task;
     std::int64_t number = 0;
-    /// Empty for a start.
+    /// How the run ended; empty for a start.
     std::optional<Transient::RunEnd> end;
-    /// The order was carried out long after it had come.
+    /// The order was executed long after it had arrived.
     bool isLate = false;
 };
 
 struct BackendOptions
 {
     std::string id = "i-1";
-    /// 0 takes a free one.
+    /// 0 selects a free port.
     std::uint16_t port = 0;
-    /// Where others reach it; its own address where empty.
+    /// Address that it announces; its own address if empty.
     std::string announcedAddress;
-    /// Runs in order, each once, under a lock of the server's.
+    /// Called once for each event, in order, while the server's mutex is locked.
     std::function<void(const RunEvent &)> ran = [](const RunEvent &) {};
 };
 
-/// TransientSite::ModelBackend on the real clock.
+/// Serves TransientSite::ModelBackend over HTTP on the real clock.
 class BackendServer
 {
 public:
@@ -145,24 +145,25 @@
 
     std::string address() const;
     std::uint16_t port() const;
-    /// Tells the agent at \a registration of itself. False where it does not acknowledge.
+    /// Announces itself to the agent at address \a registration. False if the agent does not
+    /// acknowledge.
     bool announce(const std::string &registration, const std::string &service, bool leaving);
-    /// Tells the agent that it ends.
+    /// Announces to the agent that it has left.
     void announceEnd(const std::string &registration);
     void setFault(BackendFault fault, bool on);
     std::size_t running();
     int starts();
 
 private:
-    /// Of an order that is carried out long after it has come.
+    /// Delay of an order that is executed long after it has arrived.
     struct Lateness
     {
         std::int64_t byMs = 0;
-        /// The time that it grants counts from when it is carried out.
+        /// The lease that it grants counts from its execution.
         bool hasNewLease = false;
     };
 
-    /// An observation that waits for an end.
+    /// An observation that waits for the end of a run.
     struct Waiting
     {
         std::int64_t fence = 0;
@@ -197,7 +198,7 @@
     std::unique_ptr<Net::HttpServer> server;
 };
 
-/// A job of one step, as a caller submits it.
+/// A job with one step, as a caller submits it.
 struct CallerJob
 {
     std::int64_t runMs = 0;
@@ -206,7 +207,7 @@
 };
 
 std::string jobBody(const CallerJob &job);
-/// A header line that tells how long the caller waits.
+/// Header line with the remaining timeout of the caller.
 std::string remainingTimeoutHeader(std::int64_t ms);
 
 struct QueueRoute
@@ -215,14 +216,14 @@
     std::int64_t priority = 1;
 };
 
-/// A configuration with these queues at host "desk.example".
+/// Configuration record with these queues at host "desk.example".
 std::string queueRecord(std::int64_t version, const std::string &service,
                         const std::vector<QueueRoute> &routes);
 
-/// A port that nothing listens on at the moment.
+/// A port on which no process listens at the moment.
 std::uint16_t freePort();
 
-/// A configuration with one queue at host "desk.example" and path "/checks/".
+/// Configuration record with one queue at host "desk.example" and path "/checks/".
 std::string oneQueue(std::int64_t version, const std::string &service);
 
 } // namespace FakePlatform
--- a/Source/UnitTests/Platform/StoreCallsTest.cpp
+++ b/Source/UnitTests/Platform/StoreCallsTest.cpp
@@ -46,7 +46,7 @@
     REQUIRE(read.has_value());
     CHECK(read->nextOffset == 3);
     REQUIRE(read->records.size() == 1);
-    // Bytes that were cut off are read again.
+    // A record that was cut off is read again.
     const auto cut = Platform::decodeRead(answered(200, head() + good + good.substr(0, 9)), 0);
     REQUIRE(cut.has_value());
     CHECK(cut->nextOffset == 1);
@@ -113,7 +113,7 @@
     }
 }
 
-TEST_CASE("What gateways have learned comes back the newest first, without foreign records")
+TEST_CASE("Learned times are decoded newest first, without invalid records")
 {
     Schema::LearnedTimes older;
     older.gateway = "gateway-2-a";
--- a/Source/UnitTests/PropertyCheck.h
+++ b/Source/UnitTests/PropertyCheck.h
@@ -10,24 +10,26 @@
 #include <string>
 #include <vector>
 
-/// Searches for a list of commands that breaks a promise.
+/// Searches for a list of commands that violates an invariant.
 namespace PropertyCheck {
 
 struct Search
 {
     std::string name;
-    /// A short run for each build; AUBURNTRAIL_PROPERTY_RUNS and _SEED widen the search.
+    /// Number of command lists. Small enough for each build; the environment variables
+    /// AUBURNTRAIL_PROPERTY_RUNS and AUBURNTRAIL_PROPERTY_SEED widen the search.
     int runs = 1;
     int maxSize = 60;
 };
 
+/// Value of an environment variable, or \a defaultValue if it is not set.
 inline std::uint64_t readNumberVariable(const char *variable, std::uint64_t defaultValue)
 {
     const char *text = std::getenv(variable);
     return text == nullptr ? defaultValue : std::strtoull(text, nullptr, 10);
 }
 
-/// What a property test does next, and two numbers that say to whom and how much.
+/// One step of a property test, with two numbers that select its target and its amount.
 template <typename Kind>
 struct Command
 {
@@ -53,7 +55,7 @@
             rc::gen::set(&BuiltCommand::second, rc::gen::inRange(0U, Range)));
 }
 
-/// Leaves out whatever the commands break a promise without.
+/// Removes the commands without which the others still violate an invariant.
 template <typename Command, typename FindViolations>
 std::vector<Command> shrinkCommands(std::vector<Command> commands, std::uint64_t seed,
                                     FindViolations findViolations)
@@ -76,8 +78,9 @@
     return commands;
 }
 
-/// \a findViolations plays commands with a seed and tells what broke, or nothing; \a printTrace
-/// writes down what happens when they are played.
+/// Checks that random commands violate no invariant. \a findViolations executes commands with a
+/// seed and returns the violations, or an empty string. \a printTrace executes the shortest failing
+/// commands again and prints the events.
 template <typename Command, typename FindViolations, typename PrintTrace>
 void check(const Search &search, const rc::Gen<Command> &anyCommand, FindViolations findViolations,
            PrintTrace printTrace)
@@ -88,7 +91,7 @@
     parameters.maxSuccess = static_cast<int>(readNumberVariable(
             "AUBURNTRAIL_PROPERTY_RUNS", static_cast<std::uint64_t>(search.runs)));
     parameters.maxSize = search.maxSize;
-    // The library shrinks the numbers of the commands as well, which takes too long here.
+    // The library would also shrink the numbers of the commands, which takes too long here.
     parameters.disableShrinking = true;
     bool isReported = false;
     const auto property = [&] {
@@ -97,7 +100,8 @@
         const std::string violations = findViolations(commands, seed);
         if (!violations.empty() && !isReported) {
             isReported = true;
-            // At once: a search that is cut off while it shrinks has then still told what it found.
+            // Printed before shrinking, so that the failure is known even if the search is
+            // interrupted while it shrinks.
             std::cerr << "seed " << seed << ": " << violations << '\n';
             const std::vector<Command> shrunk = shrinkCommands(commands, seed, findViolations);
             std::cerr << "shortest list:";
--- a/Source/UnitTests/Transient/BackendReplayTest.cpp
+++ b/Source/UnitTests/Transient/BackendReplayTest.cpp
@@ -14,7 +14,7 @@
 constexpr std::int64_t SettleMs = 1000;
 constexpr std::int64_t AnswerWaitMs = 4000;
 
-/// Targets are 1.6 times the work of a backend server of speed 1, and 60 ms.
+/// Targets are 1.6 times the run time on a backend server of speed 1, plus 60 ms.
 constexpr OfferedWork Usual{{100, 1, false}, 4, 220};
 constexpr OfferedWork Short{{30, 1, false}, 6, 108};
 constexpr OfferedWork Long{{300, 1, false}, 2, 540};
@@ -43,7 +43,7 @@
     return world;
 }
 
-/// All that runs on one of four backend servers stands still, and it goes on answering.
+/// All runs of one of four backend servers stall while it keeps answering.
 Outcome replayStandstill(const SwitchOff &switchOff, std::uint64_t seed)
 {
     constexpr double Standstill = 0.001;
@@ -57,7 +57,7 @@
     return countOutcomes(*world, Usual, first);
 }
 
-/// Long jobs fill the backend servers, and short urgent ones come with them.
+/// Long jobs fill the backend servers, and short urgent jobs are submitted at the same time.
 Outcome replayUrgent(const SwitchOff &switchOff, std::uint64_t seed)
 {
     auto world = makeSite(seed, switchOff);
@@ -81,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE("Load replays: standstill and urgent jobs cost less with the decision")
+TEST_CASE("Load replays: more jobs end in time with the decisions than without")
 {
     using Schema::AgentDecision;
     using Schema::GatewayDecision;
@@ -90,7 +90,7 @@
         std::string what;
         Replay replay;
         SwitchOff without;
-        /// Of those who asked, in time.
+        /// Share of the submitted jobs that end in time with the decisions; without them fewer do.
         double minShare;
     };
     const Row rows[] = {
--- a/Source/UnitTests/Transient/DecisionTest.cpp
+++ b/Source/UnitTests/Transient/DecisionTest.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("The longest path of the host wins")
+TEST_CASE("The queue with the longest matching path of the host is found")
 {
     Schema::QueueTable queues;
     queues.version = 3;
@@ -73,7 +73,7 @@
     }
 }
 
-TEST_CASE("Queues never go back")
+TEST_CASE("An older queue table does not replace a newer one")
 {
     Schema::QueueTable inForce;
     struct Row
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_CASE("Discovery dials seeds for ever and hearsay for a while")
+TEST_CASE("Discovery dials seeds forever and other gateways for a limited time")
 {
     Discovery discovery = makeDiscovery("10.0.0.1:1", {"10.0.0.1:1", "10.0.0.2:1"});
     addGateway(discovery, "10.0.0.3:1", at(0));
@@ -115,9 +115,9 @@
 
 TEST_CASE("A gateway that starts a moment after its agents is found at once")
 {
-    // All processes start together. The agent's first attempts meet nobody; the gateway listens
-    // 0.6 s later. Callers are there already and are refused until the next attempt, which must not
-    // lie half a second away.
+    // All processes start together. The agent's first attempts fail, since the gateway listens only
+    // 0.6 s later. Callers are connected already and are refused until the next attempt, which must
+    // not come half a second later.
     Discovery discovery = makeDiscovery("", {"10.0.0.2:1"});
     std::int64_t lastMs = 0;
     for (std::int64_t nowMs = 0; nowMs <= 1000; nowMs += 10) {
@@ -164,10 +164,11 @@
     }
 }
 
-TEST_CASE("Predictions are stretched by what the last answers took")
+TEST_CASE("Predictions are corrected by how long the last answers took")
 {
-    // Backend servers have turned slow: answers take twice as long as predicted. A dozen of them
-    // suffice to refuse a job that would end late; without answers the correction fades.
+    // Backend servers have become slow: answers take twice as long as predicted. A dozen
+    // answers are enough to refuse a job that would end late. Without further answers the
+    // correction decays.
     PredictionError error;
     AdmissionQuery query;
     query.predictedMs = 150;
@@ -185,8 +186,8 @@
     query.stretch = expectedStretch(error, 4200);
     CHECK(query.stretch < 1.1);
     CHECK_FALSE(decideAdmission({}, query).has_value());
-    // Answers that come sooner than predicted let nobody in who would be refused otherwise, and a
-    // single one that hung counts for little.
+    // Answers that come sooner than predicted do not lower predictions, and a single answer that
+    // hung has little weight.
     PredictionError early;
     for (int answer = 0; answer < 50; ++answer) {
         observeAnswer(early, 200, 50, 1000);
@@ -197,7 +198,7 @@
     CHECK(expectedStretch(hung, 1000) < 1.2);
 }
 
-TEST_CASE("Loads are told less often the more gateways there are")
+TEST_CASE("Loads are reported less often the more gateways there are")
 {
     struct Row
     {
@@ -210,14 +211,14 @@
     }
 }
 
-TEST_CASE("Waits are expected from what is missing and the time that tasks there take")
+TEST_CASE("The mean wait follows from the missing processors and the time that tasks still take")
 {
     CHECK(meanWaitMs(agentOf("a", 64, 50, 300), 6) == doctest::Approx(0));
     CHECK(meanWaitMs(agentOf("a", 64, 64, 300), 6.4) == doctest::Approx(30));
     CHECK(meanWaitMs(agentOf("a", 64, 128, 300), 6.4) == doctest::Approx(330));
 }
 
-TEST_CASE("An agent's forecast counts, and what was sent since stands before it")
+TEST_CASE("Tasks that were sent after an agent's forecast are added to it")
 {
     struct Row
     {
@@ -250,10 +251,11 @@
     }
 }
 
-TEST_CASE("A queue before the fast backend server weighs more than a longer run elsewhere")
+TEST_CASE("A wait at the fast backend server weighs more than a longer run elsewhere")
 {
-    // Where waits and runs count alike, all queue before the fast one until it is no better than
-    // the slow one, which stands idle, and urgent tasks are late behind that queue.
+    // With equal weights for waits and run times, all tasks would queue at the fast backend server
+    // until it is no better than the slow one, which would stay idle, and urgent tasks would be
+    // late behind that queue.
     struct Row
     {
         bool weighsWaits;
@@ -282,7 +284,7 @@
     }
 }
 
-TEST_CASE("A backend server counts at the pace that it has now")
+TEST_CASE("A backend server is rated by its present speed")
 {
     Fleet fleet;
     fleet.agents["slowed"] = agentOf("slowed", 64, 0, 100);
@@ -350,7 +352,7 @@
     }
 }
 
-TEST_CASE("What was sent counts until the agent counts it")
+TEST_CASE("Sent tasks count as committed until the agent reports them")
 {
     AgentView agent = agentOf("a", 64, 0, 0);
     const std::int64_t first = countOrder(agent, 12, 0, 2);
--- a/Source/UnitTests/Transient/JobsTest.cpp
+++ b/Source/UnitTests/Transient/JobsTest.cpp
@@ -14,12 +14,12 @@
     return {ms, ms};
 }
 
-/// A gateway with one agent that has room for \a processors.
+/// A gateway with one agent whose backend server has \a processors.
 struct Fixture
 {
     explicit Fixture(double processors = 8) { this->announce("agent", 0, processors); }
 
-    /// The agent \a name, with nothing running.
+    /// Announces the agent \a name, without runs.
     Effects announce(const std::string &name, std::int64_t nowMs, double processors = 8)
     {
         Schema::AgentAnnouncement announcement;
@@ -153,10 +153,10 @@
     CHECK(site.state.jobs.empty());
 }
 
-TEST_CASE("A resubmission waits until the last life of its id is over")
+TEST_CASE("A resubmission waits until the previous submission of its id has ended")
 {
-    // The caller's connection breaks and the job comes again at the same gateway, while a task of
-    // the first submission is still being stopped. It starts only when that is over.
+    // The caller's connection breaks, and the job is submitted again at the same gateway while a
+    // task of the first submission is being stopped. It starts only after that task has stopped.
     Fixture site;
     const Submission first = site.submission("job", {stepOf(1)});
     jobSubmitted(site.state, first, at(1), site.random);
@@ -182,9 +182,9 @@
 
 TEST_CASE("A silent agent's tasks go elsewhere only when they cannot run there any more")
 {
-    // The link to the agent is lost. It may be alive, and its backend server working, until the
-    // gateway's grant and the lease have lapsed. Before that nothing is ordered a second time.
-    // A start that was not answered may take effect for seconds longer, with a fresh lease.
+    // The link to the agent is lost. The agent and its backend server may still work until the
+    // gateway's grant and the lease have lapsed. Before that no task is ordered a second time.
+    // A start that was not answered may take effect seconds later, with a new lease.
     struct Row
     {
         bool isAnswered;
@@ -219,11 +219,12 @@
     }
 }
 
-TEST_CASE("A lost agent that is back keeps what it holds")
+TEST_CASE("A lost agent that reconnects keeps its tasks")
 {
-    // The agent was cut off until its gateway had forgotten it, and had not told that its start was
-    // answered. It comes back still running the task. Whatever time passes then, nothing of it is
-    // ordered elsewhere, and its end is taken.
+    // The link to the agent is lost for so long that the gateway treats it as lost, before the
+    // agent has reported that its start was answered. It reconnects and still runs the task.
+    // However long the task runs from then on, it is not ordered elsewhere, and its end is
+    // accepted.
     Fixture site;
     Submission submission = site.submission("job", {stepOf(1)});
     submission.remainingTimeoutMs = 3 * GatewayTimes().lateStartMs;
@@ -242,14 +243,14 @@
     CHECK(ended[0].outcome == JobOutcome::Succeeded);
 }
 
-TEST_CASE("A new process of an agent settles what the former one had")
+TEST_CASE("The tasks of a previous agent process are ordered again when the new one is clean")
 {
     Fixture site;
     jobSubmitted(site.state, site.submission("job", {stepOf(1)}), at(1), site.random);
     Schema::AgentAnnouncement restarted = site.state.fleet.agents.at("agent").announced;
     restarted.instance = "agent-2";
     restarted.clean = false;
-    // It has not yet looked at what runs.
+    // The new process has not yet observed that no run is left.
     CHECK(orderedTasks(agentAnnounced(site.state, restarted, at(40), site.random)).empty());
     restarted.clean = true;
     CHECK(orderedTasks(agentAnnounced(site.state, restarted, at(50), site.random))
@@ -315,8 +316,8 @@
 
 TEST_CASE("Where the only backend server leaves, jobs are refused at once")
 {
-    // Its agent is linked and says that it takes nothing more. A job that waited for it would learn
-    // only at its target time that nobody can run it.
+    // Its agent is connected and announces that it accepts no more tasks. A job that waited for it
+    // would be refused only at its target time.
     Fixture site;
     Schema::AgentAnnouncement leaving = site.state.fleet.agents.at("agent").announced;
     leaving.accepting = false;
@@ -325,18 +326,18 @@
             jobSubmitted(site.state, site.submission("job", {stepOf(1)}), at(5001), site.random));
     REQUIRE(given.size() == 1);
     CHECK(given[0].reason == Reason::NoBackend);
-    // One whose link is gone for a moment may be back at once.
+    // An agent whose link is lost may reconnect at once, so the job waits.
     handleAgentDisconnected(site.state, "agent-1", at(5002));
     CHECK(answers(jobSubmitted(site.state, site.submission("other", {stepOf(1)}), at(5003),
                                site.random))
                   .empty());
 }
 
-TEST_CASE("A job that nobody has taken is refused when it could not be of use any more")
+TEST_CASE("A job without an agent is refused when it can no longer meet its target")
 {
-    // After a cold start the caller comes before the agents. Its job of 100 ms has a target of 220
-    // ms: after 120 ms without an agent it is refused, has not run, and its caller is not held
-    // until its patience is at an end.
+    // After a cold start a caller connects before the agents. Its job of 100 ms has a target of
+    // 220 ms. After 120 ms without an agent the job is refused without having run, and its caller
+    // does not have to wait until its timeout.
     GatewayState state;
     Common::Random random(1);
     Fixture names;
@@ -349,7 +350,7 @@
     CHECK(refused[0].retryAfterMs >= 1000);
 }
 
-TEST_CASE("At the deadline what may have run is given up, and what has not is refused")
+TEST_CASE("At the deadline a job that may have run is abandoned, and one that has not is refused")
 {
     Fixture site;
     jobSubmitted(site.state, site.submission("ran", {stepOf(1)}), at(1), site.random);
@@ -362,12 +363,12 @@
     CHECK(late[0].outcome == JobOutcome::GaveUp);
 }
 
-TEST_CASE("A gateway that stops takes only what surely ends, and answers all before it ends")
+TEST_CASE("A stopping gateway accepts only jobs that end in time and answers all before it ends")
 {
-    // The gateway is told to stop and has 5 s. A job that is expected to take 100 ms comes while
-    // there is time, one when it might not end. The first takes far longer than expected: its
-    // caller is answered before the process ends, what runs for it is stopped, and a resubmission
-    // that waits for that is answered as well.
+    // A stop of the gateway is requested with a timeout of 5 s. Of two jobs that are expected to
+    // take 100 ms, one is submitted in time and is accepted; the other might not end in time and is
+    // refused. The first takes far longer than expected: its caller is answered before the process
+    // ends, its tasks are withdrawn, and a resubmission that waits for them is answered as well.
     constexpr std::int64_t TimeoutMs = 5000;
     Fixture site;
     beginStop(site.state, TimeoutMs, at(0));
@@ -392,10 +393,10 @@
     CHECK(parked[0].outcome == JobOutcome::GaveUp);
 }
 
-TEST_CASE("An agent that is gone is waited for until nothing can run there any more")
+TEST_CASE("The settle time of a lost agent covers its grant and its last lease")
 {
-    // The agent acts for silenceMs on what it last heard; a renewal at the end of that lasts for
-    // leaseMs, by a clock that is slow by a fiftieth.
+    // The agent acts for silenceMs on the last message that it received. A renewal at the end of
+    // that time lasts for leaseMs, by a clock that is slow by a fiftieth.
     struct Row
     {
         std::int64_t silenceMs;
@@ -409,12 +410,13 @@
     }
 }
 
-TEST_CASE("An end of a job's former life is told again after its next life has begun")
+TEST_CASE("A repeated end of an earlier submission does not end the present one")
 {
-    // The caller has gone and has submitted again; the second submission waits until nothing of the
-    // first is left. The agent's link is back: it holds nothing, so the second life begins and is
-    // ordered there. Then the agent repeats how the first life's attempt ended. Taken for the end
-    // of the second life's, it has the task ordered once more while it runs.
+    // The caller has disconnected and submitted again; the second submission waits until no task of
+    // the first is left. The agent reconnects without tasks, so the second submission starts and is
+    // ordered there. Then the agent repeats how the attempt of the first submission ended. If the
+    // gateway took that for the end of the second attempt, it would order the task once more while
+    // it runs.
     Fixture site;
     const Submission first = site.submission("job", {stepOf(1)});
     CHECK(orderedTasks(jobSubmitted(site.state, first, at(1), site.random)).size() == 1);
--- a/Source/UnitTests/Transient/LearnedTest.cpp
+++ b/Source/UnitTests/Transient/LearnedTest.cpp
@@ -29,7 +29,8 @@
     return announcement;
 }
 
-/// A gateway that has seen the backend server "slow" take three times as long as "fast".
+/// Makes a gateway that has learned that the backend server "slow" takes three times as long as
+/// "fast".
 GatewayState makeExperiencedGateway()
 {
     GatewayState state;
@@ -51,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("What one gateway has learned another one starts with")
+TEST_CASE("A gateway starts with what another one has learned")
 {
     GatewayState before = makeExperiencedGateway();
     const Schema::LearnedTimes learned = learnedTimes(before, "gateway-1", at(5000));
@@ -90,7 +91,7 @@
     }
 }
 
-TEST_CASE("What a gateway knows by itself stands, and senseless records change nothing")
+TEST_CASE("Records do not replace a gateway's own estimates, and invalid ones change nothing")
 {
     GatewayState state = makeExperiencedGateway();
     const Schema::LearnedTimes own = learnedTimes(state, "gateway-1", at(5000));
@@ -113,8 +114,8 @@
 
 TEST_CASE("Of several records the newest counts")
 {
-    // A gateway that was removed for good has left its record behind: it tells of a time when the
-    // backend server was fast. Another one has since learned that it is slow.
+    // The record of a gateway that was removed for good is still stored. It dates from a time when
+    // the backend server was fast. Another gateway has learned since then that it is slow.
     const GatewayState experience = makeExperiencedGateway();
     const Schema::LearnedTimes newer = learnedTimes(experience, "gateway-1", at(5000));
     Schema::LearnedTimes older = newer;
@@ -146,10 +147,10 @@
     }
 }
 
-TEST_CASE("A caller with less patience than nearly all others has waited")
+TEST_CASE("A caller with a much shorter remaining timeout than usual has waited before")
 {
-    // All gateways were gone for a second. The connections of that time come together: their
-    // callers have 1,000 ms left where the others have 1,800 to 2,400.
+    // All gateways were down for a second. The callers of that time connect all at once: they have
+    // 1,000 ms left where the others have 1,800 to 2,400.
     Common::Random random{1};
     std::uniform_int_distribution<std::int64_t> usualMs(1800, 2400);
     UsualRemainingTimeout usual;
@@ -175,14 +176,14 @@
     for (int caller = 0; caller < 100; ++caller) {
         observeRemainingTimeout(usual, 1000);
     }
-    // A crowd of them does not become the usual.
+    // Many such callers do not change what is usual.
     CHECK(waitedBeforeMs(usual, 1000) >= 350);
 }
 
-TEST_CASE("What was learned is read until it comes, and no longer than it helps")
+TEST_CASE("Learned times are read until the store answers, and for ten seconds at most")
 {
-    // All gateways start together while the store is silent. Each asks again every second; once an
-    // answer has come, or after ten seconds of its own experience, it asks no more.
+    // All gateways start together while the store does not answer. Each reads again every second.
+    // It stops after the first answer, or after ten seconds, when it has learned enough by itself.
     struct Row
     {
         const char *what;
@@ -211,16 +212,17 @@
     }
 }
 
-TEST_CASE("A gateway that wakes up late reads no more")
+TEST_CASE("A gateway that resumes late does not read again")
 {
-    // The store is silent, and the process is held up for longer than the records help.
+    // The store does not answer, and the process is suspended for more than the ten seconds in
+    // which records are of use.
     LearnedSchedule schedule = scheduleLearned(Fleet{}, at(0));
     CHECK(takeReadDue(schedule, at(0)));
     CHECK_FALSE(takeReadDue(schedule, at(10'001)));
     CHECK_FALSE(takeReadDue(schedule, at(60'000)));
 }
 
-TEST_CASE("The larger the fleet, the rarer the record")
+TEST_CASE("Records are written less often the larger the fleet is")
 {
     struct Row
     {
--- a/Source/UnitTests/Transient/LoadReplay.h
+++ b/Source/UnitTests/Transient/LoadReplay.h
@@ -5,7 +5,7 @@
 
 #include "TransientWorld.h"
 
-/// Offers load to a site in virtual time and judges it by what its callers receive.
+/// Offers load to a site in virtual time and counts the answers that its callers receive.
 namespace TransientSite {
 
 struct OfferedWork
@@ -22,18 +22,19 @@
     int late = 0;
 };
 
-/// Processors of the site, by their speed.
+/// Processors of the site, weighted by their speed.
 double capacityOf(const World &world);
 
-/// Offers the share \a load of \a capacity for \a forMs.
+/// Submits jobs that need the share \a load of \a capacity on average, for \a forMs.
 void offer(World &world, const OfferedWork &offered, double capacity, double load,
            std::int64_t forMs);
 
-/// Of the callers from \a first on that ask for work like \a offered and had not waited before.
+/// Counts the answers of the callers from \a first on with the run time of \a offered and at least
+/// \a minRemainingTimeoutMs, which leaves out those that had waited before.
 Outcome countOutcomes(const World &world, const OfferedWork &offered, std::size_t first,
                       std::int64_t minRemainingTimeoutMs = 0);
 
-/// What \a replay gives with \a options, over eight seeds.
+/// Sums the outcomes of \a replay with \a options over eight seeds.
 template <typename Replay, typename Chosen>
 Outcome sumOverSeeds(const Replay &replay, const Chosen &options)
 {
--- a/Source/UnitTests/Transient/LoadReplayTest.cpp
+++ b/Source/UnitTests/Transient/LoadReplayTest.cpp
@@ -10,11 +10,11 @@
 
 constexpr int Gateways = 3;
 constexpr int Agents = 4;
-/// Of four backend servers of 8 processors, two of which are faster by 1.6.
+/// Four backend servers with 8 processors each, two of which are faster by a factor of 1.6.
 constexpr double Capacity = 8 * (2 + 2 * 1.6);
 constexpr int TasksPerJob = 4;
 constexpr ModelWork Work{100, 1, false};
-/// The target: 1.6 times the work of a backend server of speed 1, and 60 ms.
+/// The target is 1.6 times the run time on a backend server of speed 1, plus 60 ms.
 constexpr OfferedWork Jobs{Work, TasksPerJob, 220};
 
 void limitAll(World &world, const Transient::AdmissionLimits &limits)
@@ -24,8 +24,8 @@
     }
 }
 
-/// Half of the backend servers turn four times as slow while more is offered than the others can
-/// do.
+/// Half of the backend servers become four times slower while more load is offered than the site
+/// can then handle.
 Outcome replaySlowdown(const Transient::AdmissionLimits &limits, std::uint64_t seed)
 {
     auto world = makeWorld(seed, Gateways, Agents);
@@ -40,7 +40,7 @@
     return countOutcomes(*world, Jobs, first);
 }
 
-/// All gateways are gone for a second; its callers come together with the fresh ones.
+/// All gateways are down for a second. The callers of that time connect together with new ones.
 Outcome replayReturn(const Transient::AdmissionLimits &limits, std::uint64_t seed)
 {
     constexpr std::int64_t RemainingTimeoutMs = 900;
@@ -81,14 +81,14 @@
 
 } // namespace
 
-TEST_CASE("Load replays: callers are served better with the module than without")
+TEST_CASE("Load replays: more jobs end in time with admission control than without")
 {
     struct Row
     {
         std::string what;
         Replay replay;
         Transient::AdmissionLimits without;
-        /// Of those who asked, in time.
+        /// Share of the submitted jobs that end in time with the limits; without them fewer do.
         double minShare;
     };
     Row rows[] = {{"backend servers turn slow under load", replaySlowdown, {}, 0.33},
--- a/Source/UnitTests/Transient/PaceTest.cpp
+++ b/Source/UnitTests/Transient/PaceTest.cpp
@@ -32,7 +32,7 @@
     return state;
 }
 
-/// One that began at 1000 and has come so far at 1100.
+/// A run that started at 1,000 ms and had done \a percent at 1,100 ms.
 Run running(std::int64_t expectedMs, int percent)
 {
     Run run;
@@ -83,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("A forecast plays the queue forward in its own order")
+TEST_CASE("A forecast simulates the queue in its order")
 {
     struct Row
     {
@@ -94,7 +94,7 @@
         double urgentWaitMs;
         double waitMs;
     };
-    // Two run, with 100 and 300 ms left; what waits takes 100 ms each.
+    // Two tasks run, with 100 and 300 ms left; each waiting task takes 100 ms.
     const Row rows[] = {
             {"there is room", 3, 0, 0, 0, 0},
             {"full: the first end", 2, 0, 0, 100, 100},
@@ -118,7 +118,7 @@
     }
 }
 
-TEST_CASE("What its runs show tells that a backend server is slow")
+TEST_CASE("A slow backend server is detected by the progress of its runs")
 {
     struct Row
     {
@@ -141,12 +141,12 @@
         }
         updateSlowdown(state, at(1100));
         CHECK((slowdownOf(state, at(1100)) > 1) == row.isSlow);
-        // It is tried again once nothing tells of it any more.
+        // Without new progress the slowdown decays, and the backend server is used again.
         CHECK(slowdownOf(state, at(12'000)) == 1);
     }
 }
 
-TEST_CASE("What stands still and would be late goes elsewhere while that helps")
+TEST_CASE("Stalled runs that would be late are moved while that helps")
 {
     struct Row
     {
@@ -179,7 +179,7 @@
         updateSlowdown(state, at(1100));
         const Effects effects = moveFromSlow(state, at(1100));
         CHECK(countPhase(state, RunPhase::Stopping) == (row.isStopped ? StalledRuns : 0));
-        // What waits there has done nothing yet and is given back.
+        // A waiting task has not started and is returned to its gateway.
         CHECK(countPhase(state, RunPhase::Queued)
               == (row.movesFromSlow && row.percent == 0 ? 0 : 1));
         for (const Effect &effect : effects) {
@@ -191,7 +191,7 @@
     }
 }
 
-TEST_CASE("A start is given up by what its answers usually take")
+TEST_CASE("The timeout of a start follows from how long answers usually take")
 {
     StartTimeout timeout;
     CHECK(startTimeoutMs(timeout) == 150);
@@ -199,7 +199,7 @@
         recordStartAnswer(timeout, 3);
     }
     CHECK(startTimeoutMs(timeout) == 30);
-    // The agent's instance has turned slow: it must not go on giving up all that it starts.
+    // The backend server has become slow: its starts must not keep timing out.
     for (int start = 0; start < 6; ++start) {
         recordStartUnanswered(timeout);
     }
--- a/Source/UnitTests/Transient/RunnerTest.cpp
+++ b/Source/UnitTests/Transient/RunnerTest.cpp
@@ -829,7 +829,7 @@
     CHECK(stop->number == start.start.number);
 }
 
-TEST_CASE("A task that is ordered again gets a higher run number")
+TEST_CASE("A task that comes back gets a higher run number")
 {
     // Run 1 of the task was stopped here, and its start may still take effect late. After a new
     // submission at another gateway the task is ordered as attempt 1 again. A second run 1 would
--- a/Source/UnitTests/Transient/SiteStoryTest.cpp
+++ b/Source/UnitTests/Transient/SiteStoryTest.cpp
@@ -316,7 +316,7 @@
     }
 }
 
-TEST_CASE("A backend server refuses stops and accepts renewals after a gateway was killed")
+TEST_CASE("A backend server refuses stops and takes renewals after a gateway was killed")
 {
     // The agent has to stop the runs that the killed gateway had ordered. Its backend server
     // refuses most calls. If it accepts no stop for a second but some observations, and each of
