--- a/Source/UnitTests/Transient/RunnerTest.cpp
+++ b/Source/UnitTests/Transient/RunnerTest.cpp
@@ -55,7 +55,7 @@
         this->seen(first->observation, 2);
     }
 
-    /// Answers an observation with all runs that the agent knows as running.
+    /// Answers an observation that shows all runs that the agent counts as running.
     Effects seen(std::uint64_t observation, std::int64_t nowMs, std::int64_t startedAtMs = 1)
     {
         Transient::ObserveAnswer answer;
@@ -477,7 +477,8 @@
         }
     }
     CHECK(leaseUntilMs < ResubmittedMs);
-    // No other run is wanted there: not even the first observation after the loss renews.
+    // There is no other run that should go on: not even the first observation after the loss
+    // renews.
     CHECK(leaseUntilMs <= LinkLostMs + LeaseMs);
     CHECK(leaseUntilMs > LinkLostMs + LeaseMs - 50);
 }
