--- a/Source/Core/Runner/Observation.cpp
+++ b/Source/Core/Runner/Observation.cpp
@@ -416,7 +416,7 @@
     }
     const PendingObservation sent = found->second;
     state.pendingObservations.erase(found);
-    if (answer.outcome == ObserveOutcome::Seen) {
+    if (answer.outcome == ObserveOutcome::Observed) {
         processObservation(state, effects, answer.seen, sent, now);
     } else {
         processFailedObservation(state, effects, answer.outcome, sent, now);
