--- a/Source/UnitTests/Agent/AgentBench.cpp
+++ b/Source/UnitTests/Agent/AgentBench.cpp
@@ -55,7 +55,7 @@
     Schema::Frame receive(const Schema::Frame &frame)
     {
         const std::string bytes = Net::encodeFrame(frame);
-        this->note(bytes);
+        this->countFrame(bytes);
         Schema::Frame decoded;
         this->costs.codec += microsOf([&] {
             Common::handle(
@@ -72,11 +72,11 @@
     {
         std::string bytes;
         this->costs.codec += microsOf([&] { bytes = Net::encodeFrame(frame); });
-        this->note(bytes);
+        this->countFrame(bytes);
     }
 
 private:
-    void note(const std::string &bytes)
+    void countFrame(const std::string &bytes)
     {
         this->costs.bytes += static_cast<double>(bytes.size());
         ++this->costs.frames;
@@ -155,12 +155,12 @@
     const std::size_t before = mallinfo2().uordblks;
     Costs costs;
     runTasks(site, count, costs);
-    const std::size_t remembered = mallinfo2().uordblks - before;
+    const std::size_t memoryBytes = mallinfo2().uordblks - before;
     std::printf("tasks=%d decisions_us_per_task=%.2f codec_us_per_task=%.2f "
                 "frames_per_task=%.2f bytes_per_task=%.0f memory_bytes_per_task=%.0f\n",
                 count, costs.decisions / count, costs.codec / count,
                 static_cast<double>(costs.frames) / count, costs.bytes / count,
-                static_cast<double>(remembered) / count);
+                static_cast<double>(memoryBytes) / count);
     Schema::AskTasks ask{"ask", {{2, "g2", AgentFixture::Shard}}};
     const double micros =
             microsOf([&] { Agent::answerAskTasks(site.state, site.linkOf("g2"), ask, site.now); });
@@ -174,10 +174,10 @@
         site.table.shards.push_back({1, "g1", shard});
     }
     site.join();
-    constexpr int Beats = 200;
+    constexpr int Heartbeats = 200;
     const std::size_t hellosBefore = site.hellos.size();
     const double micros =
-            microsOf([&] { site.pass(Beats * site.state.links.options.heartbeatMs); });
+            microsOf([&] { site.advanceTime(Heartbeats * site.state.links.options.heartbeatMs); });
     Schema::Frame hello;
     hello.type = Schema::FrameType::AgentHello;
     hello.agentHello = site.hellos.back();
@@ -192,8 +192,8 @@
     std::printf("gateways=%d shards=%d tick_and_hello_us_per_heartbeat=%.1f "
                 "hellos_per_heartbeat=%.2f hello_bytes=%zu backend_bytes=%zu pong_bytes=%zu "
                 "table_bytes=%zu\n",
-                gateways, shards, micros / Beats,
-                static_cast<double>(site.hellos.size() - hellosBefore) / Beats,
+                gateways, shards, micros / Heartbeats,
+                static_cast<double>(site.hellos.size() - hellosBefore) / Heartbeats,
                 Net::encodeFrame(hello).size(), backendBytes, pongBytes,
                 Net::encodeFrame(pong).size() - pongBytes);
 }
--- a/Source/UnitTests/Agent/AgentFixture.cpp
+++ b/Source/UnitTests/Agent/AgentFixture.cpp
@@ -54,7 +54,7 @@
         this->gatewayOfLink[dial->link] = gatewayName(dial->port - FirstPort);
         this->carryOut(Agent::linkOpened(this->state, dial->link, this->now));
     } else if (const auto *send = std::get_if<Agent::SendToGateway>(&effect)) {
-        this->takeFrame(*send);
+        this->handleFrame(*send);
     } else if (const auto *run = std::get_if<Agent::RunTask>(&effect)) {
         this->runs.push_back(run->task);
     } else if (const auto *close = std::get_if<Agent::CloseLink>(&effect)) {
@@ -67,12 +67,12 @@
     }
 }
 
-void AgentFixture::takeFrame(const Agent::SendToGateway &send)
+void AgentFixture::handleFrame(const Agent::SendToGateway &send)
 {
     const std::string gateway = this->gatewayOfLink.at(send.link);
     if (send.frame.agentHello) {
         this->hellos.push_back(*send.frame.agentHello);
-        this->unanswered.push_back(send);
+        this->unansweredHellos.push_back(send);
     }
     if (send.frame.taskStates) {
         this->reports[gateway].push_back(*send.frame.taskStates);
@@ -102,13 +102,13 @@
     this->receiveOn(link, frame);
 }
 
-void AgentFixture::pass(std::int64_t ms)
+void AgentFixture::advanceTime(std::int64_t ms)
 {
     for (std::int64_t passed = 0; passed < ms; passed += TickMs) {
         this->now.steadyMs += TickMs;
         this->now.wallMs += TickMs;
         this->carryOut(Agent::tick(this->state, this->now));
-        const std::vector<Agent::SendToGateway> sent = std::exchange(this->unanswered, {});
+        const std::vector<Agent::SendToGateway> sent = std::exchange(this->unansweredHellos, {});
         for (const Agent::SendToGateway &send : sent) {
             this->answerHello(send.link, *send.frame.agentHello);
         }
@@ -118,7 +118,7 @@
 
 void AgentFixture::join()
 {
-    this->pass(2 * TickMs);
+    this->advanceTime(2 * TickMs);
 }
 
 void AgentFixture::flush()
@@ -200,10 +200,10 @@
 {
     ++this->table.version;
     this->table.shards = {{epoch, owner, Shard}};
-    this->pass(this->state.links.options.heartbeatMs + 2 * TickMs);
+    this->advanceTime(this->state.links.options.heartbeatMs + 2 * TickMs);
 }
 
-std::string AgentFixture::told(const std::string &gateway, const std::string &job) const
+std::string AgentFixture::reportedState(const std::string &gateway, const std::string &job) const
 {
     std::string last = "nothing";
     const auto found = this->states.find(gateway);
--- a/Source/UnitTests/Agent/AgentFixture.h
+++ b/Source/UnitTests/Agent/AgentFixture.h
@@ -14,7 +14,7 @@
     explicit AgentFixture(int gatewayCount = 3);
 
     /// Lets \a ms pass in steps of a tick. Gateways of \a answering answer hellos.
-    void pass(std::int64_t ms);
+    void advanceTime(std::int64_t ms);
     /// Opens all links and lets the gateways answer once.
     void join();
 
@@ -35,7 +35,7 @@
     void flush();
 
     /// The last state of the job's task that \a gateway was sent; phase name and reason name.
-    std::string told(const std::string &gateway, const std::string &job) const;
+    std::string reportedState(const std::string &gateway, const std::string &job) const;
     std::int64_t windowOf(const std::string &gateway) const;
     int startsOf(const std::string &job) const;
 
@@ -57,9 +57,9 @@
 
 private:
     void carryOutOne(const Agent::Effect &effect);
-    void takeFrame(const Agent::SendToGateway &send);
+    void handleFrame(const Agent::SendToGateway &send);
     void answerHello(Agent::LinkNumber link, const Schema::AgentHello &hello);
 
     std::map<Agent::LinkNumber, std::string> gatewayOfLink;
-    std::vector<Agent::SendToGateway> unanswered;
+    std::vector<Agent::SendToGateway> unansweredHellos;
 };
--- a/Source/UnitTests/Agent/DaemonTest.cpp
+++ b/Source/UnitTests/Agent/DaemonTest.cpp
@@ -17,7 +17,7 @@
 public:
     FakeGateway()
         : hub({[](Net::LinkId) {},
-               [this](Net::LinkId link, const Schema::Frame &frame) { this->take(link, frame); },
+               [this](Net::LinkId link, const Schema::Frame &frame) { this->receive(link, frame); },
                [](Net::LinkId) {}})
         , port(this->hub.listen("127.0.0.1", 0))
     {}
@@ -39,12 +39,12 @@
         this->hub.send(this->agentLink, frame);
     }
 
-    /// Waits until \a holds, looked at after each frame. False after a generous time.
-    bool waitFor(const std::function<bool()> &holds)
+    /// Waits until \a condition, looked at after each frame. False after a generous time.
+    bool waitFor(const std::function<bool()> &condition)
     {
-        constexpr std::chrono::seconds LongestWait(30);
+        constexpr std::chrono::seconds MaxWait(30);
         std::unique_lock<std::mutex> lock(this->mutex);
-        return this->changed.wait_for(lock, LongestWait, holds);
+        return this->changed.wait_for(lock, MaxWait, condition);
     }
 
     Net::PeerHub hub;
@@ -56,7 +56,7 @@
     std::map<std::string, Schema::TaskState> states;
 
 private:
-    void take(Net::LinkId link, const Schema::Frame &frame)
+    void receive(Net::LinkId link, const Schema::Frame &frame)
     {
         const std::lock_guard<std::mutex> lock(this->mutex);
         this->agentLink = link;
@@ -114,7 +114,7 @@
                          .listenOn("127.0.0.1", 0)
                          .handler([this](const Net::HttpRequest &request,
                                          const Net::HttpReply &reply) {
-                             this->take(request, reply);
+                             this->receive(request, reply);
                          })
                          .build())
     {}
@@ -128,7 +128,7 @@
     void answerAll(int status)
     {
         const std::lock_guard<std::mutex> lock(this->mutex);
-        for (const Net::HttpReply &reply : std::exchange(this->held, {})) {
+        for (const Net::HttpReply &reply : std::exchange(this->heldReplies, {})) {
             reply.send({status, R"({"result":"done"})", "application/json", 0});
         }
     }
@@ -137,27 +137,27 @@
     {
         std::unique_lock<std::mutex> lock(this->mutex);
         this->arrived.wait_for(lock, std::chrono::seconds(30),
-                               [&] { return this->held.size() >= count; });
-        REQUIRE(this->held.size() == count);
+                               [&] { return this->heldReplies.size() >= count; });
+        REQUIRE(this->heldReplies.size() == count);
     }
 
     std::unique_ptr<Net::HttpServer> server;
 
 private:
-    void take(const Net::HttpRequest &request, const Net::HttpReply &reply)
+    void receive(const Net::HttpRequest &request, const Net::HttpReply &reply)
     {
         if (request.path == "/health") {
             reply.send({200, "{}", "application/json", 0});
             return;
         }
         const std::lock_guard<std::mutex> lock(this->mutex);
-        this->held.push_back(reply);
+        this->heldReplies.push_back(reply);
         this->arrived.notify_all();
     }
 
     std::mutex mutex;
     std::condition_variable arrived;
-    std::vector<Net::HttpReply> held;
+    std::vector<Net::HttpReply> heldReplies;
 };
 
 /// An agent's daemon on a thread of its own, beside the backend server \a backendPort.
--- a/Source/UnitTests/Agent/FenceTest.cpp
+++ b/Source/UnitTests/Agent/FenceTest.cpp
@@ -34,7 +34,7 @@
         Schema::StartTask task = site.makeTask("refused");
         row.alter(site, task);
         site.start("g1", task);
-        CHECK(site.told("g1", "refused") == std::string("not_started/") + row.reason);
+        CHECK(site.reportedState("g1", "refused") == std::string("not_started/") + row.reason);
         CHECK(site.startsOf("refused") == 0);
     }
 }
@@ -65,7 +65,7 @@
         for (const std::string &gateway : row.silent) {
             site.answering.erase(gateway);
         }
-        site.pass(2500);
+        site.advanceTime(2500);
         CHECK((Agent::leaseLeftMs(site.state.fence, site.now) > 0) == row.accepted);
     }
 }
@@ -87,7 +87,8 @@
         site.start("g1", late);
         CHECK(site.startsOf("crew") == (fenced ? 1 : 2));
         site.start("g1", site.makeTask("other", 1));
-        CHECK(site.told("g1", "other") == (fenced ? "not_started/epoch_fenced" : "nothing"));
+        CHECK(site.reportedState("g1", "other")
+              == (fenced ? "not_started/epoch_fenced" : "nothing"));
     }
 }
 
@@ -102,12 +103,13 @@
         site.state.fence.leaseChecked = leased;
         site.join();
         site.answering = {"g1"};
-        site.pass(2200);
+        site.advanceTime(2200);
         site.start("g1", site.makeTask("cut-off"));
         CHECK(site.startsOf("cut-off") == (leased ? 0 : 1));
-        CHECK(site.told("g1", "cut-off") == (leased ? "not_started/lease_lapsed" : "nothing"));
+        CHECK(site.reportedState("g1", "cut-off")
+              == (leased ? "not_started/lease_lapsed" : "nothing"));
         site.answering = {"g1", "g2", "g3"};
-        site.pass(1000);
+        site.advanceTime(1000);
         site.start("g1", site.makeTask("back"));
         CHECK(site.startsOf("back") == 1);
     }
@@ -144,7 +146,7 @@
     site.now.steadyMs += 60'000;
     site.now.wallMs += 60'000;
     site.finish("paused", 412);
-    CHECK(site.told("g1", "paused") == "not_started/not_after_passed");
+    CHECK(site.reportedState("g1", "paused") == "not_started/not_after_passed");
 
     Schema::StartTask soon = site.makeTask("soon");
     AgentFixture other;
@@ -166,8 +168,8 @@
     site.now.wallMs += 10'000;
     site.finish("job-0");
     CHECK(site.startsOf("job-8") == 0);
-    CHECK(site.told("g1", "job-8") == "not_started/lease_lapsed");
-    CHECK(site.told("g1", "job-0") == "succeeded/none");
+    CHECK(site.reportedState("g1", "job-8") == "not_started/lease_lapsed");
+    CHECK(site.reportedState("g1", "job-0") == "succeeded/none");
 }
 
 TEST_CASE("Epochs never fall, whatever table arrives in whatever order")
--- a/Source/UnitTests/Agent/LinksTest.cpp
+++ b/Source/UnitTests/Agent/LinksTest.cpp
@@ -12,14 +12,14 @@
     site.start("g1", site.makeTask("task"));
     const Agent::LinkNumber before = site.linkOf("g1");
     site.answering.erase("g1");
-    site.pass(2600);
+    site.advanceTime(2600);
     REQUIRE(site.closedLinks == std::vector<Agent::LinkNumber>{before});
     site.finish("task");
     site.states.clear();
     site.answering.insert("g1");
-    site.pass(500);
+    site.advanceTime(500);
     CHECK(site.linkOf("g1") > before);
-    CHECK(site.told("g1", "task") == "succeeded/none");
+    CHECK(site.reportedState("g1", "task") == "succeeded/none");
 }
 
 // A start message is stuck on the old link and comes out after the link was replaced, when the
@@ -30,7 +30,7 @@
     site.join();
     const Agent::LinkNumber before = site.linkOf("g1");
     site.carryOut(Agent::linkClosed(site.state, before, site.now));
-    site.pass(500);
+    site.advanceTime(500);
     CHECK(site.linkOf("g1") > before);
     Schema::Frame frame;
     frame.type = Schema::FrameType::StartTasks;
@@ -44,7 +44,7 @@
 {
     AgentFixture site(1);
     site.answering.clear();
-    site.pass(60'000);
+    site.advanceTime(60'000);
     CHECK(site.dials >= 8);
     CHECK(site.dials <= 25);
     std::set<std::int64_t> delays;
@@ -67,17 +67,17 @@
     auto &endpoints = site.state.links.endpoints;
     endpoints.clear();
     Agent::addSettingsGateways(site.state.links, {"10.0.0.1:8082"});
-    site.pass(100);
+    site.advanceTime(100);
     CHECK(endpoints.size() == 3);
     CHECK(Agent::leaseLeftMs(site.state.fence, site.now) > 0);
     site.table.roster[2].instance = "g4";
     site.table.roster[2].peerPort = 8085;
     site.answering.insert("g4");
     ++site.table.version;
-    site.pass(600);
+    site.advanceTime(600);
     CHECK(Agent::findInstance(site.state.links, "g4") != nullptr);
     site.carryOut(Agent::linkClosed(site.state, site.linkOf("g3"), site.now));
-    site.pass(6000);
+    site.advanceTime(6000);
     CHECK(endpoints.size() == 3);
     CHECK(endpoints.count("10.0.0.1:8084") == 0);
 }
@@ -87,7 +87,7 @@
     AgentFixture site(1);
     site.join();
     Agent::addSettingsGateways(site.state.links, {"balancer:8999"});
-    site.pass(20);
+    site.advanceTime(20);
     Agent::Endpoint &second = site.state.links.endpoints.at("balancer:8999");
     Schema::Frame frame;
     frame.type = Schema::FrameType::GatewayPong;
@@ -96,7 +96,7 @@
     site.receiveOn(second.link, frame);
     CHECK(second.stage == Agent::LinkStage::Idle);
     const int dials = site.dials;
-    site.pass(10'000);
+    site.advanceTime(10'000);
     CHECK(site.dials == dials);
     CHECK(site.closedLinks.size() == 1);
 }
@@ -109,7 +109,7 @@
     site.join();
     site.now.steadyMs += 10'000;
     site.now.wallMs += 10'000;
-    site.pass(1000);
+    site.advanceTime(1000);
     CHECK(site.closedLinks.empty());
     CHECK(site.dials == 3);
 }
@@ -132,7 +132,7 @@
     AgentFixture site;
     site.join();
     site.hellos.clear();
-    site.pass(5000);
+    site.advanceTime(5000);
     CHECK(site.hellos.size() >= 27);
     CHECK(site.hellos.size() <= 33);
 }
--- a/Source/UnitTests/Agent/OutcomesTest.cpp
+++ b/Source/UnitTests/Agent/OutcomesTest.cpp
@@ -27,7 +27,7 @@
         site.start("g1", site.makeTask("crew", 1, 2));
         CHECK(site.startsOf("crew") == 1);
         CHECK(site.repeats == 3);
-        CHECK(site.told("g1", "crew") == "succeeded/none");
+        CHECK(site.reportedState("g1", "crew") == "succeeded/none");
     }
 }
 
@@ -54,7 +54,7 @@
         site.join();
         site.startMany("g1", 12);
         site.start("g1", site.makeTask("late", 1, 2));
-        CHECK(site.told("g1", "late") == "not_started/no_slot");
+        CHECK(site.reportedState("g1", "late") == "not_started/no_slot");
         for (int i = 0; i < 12; ++i) {
             site.finish("job-" + std::to_string(i));
         }
@@ -71,7 +71,7 @@
     const Schema::StartTask late = site.makeTask("late");
     site.start("g1", late);
     CHECK(Agent::findRecord(site.state.outcomes, {"late", 0}) != nullptr);
-    site.pass(40'000);
+    site.advanceTime(40'000);
     CHECK(Agent::findRecord(site.state.outcomes, {"late", 0}) == nullptr);
     for (int i = 0; i < 12; ++i) {
         if (site.startsOf("job-" + std::to_string(i)) == 1) {
@@ -80,7 +80,7 @@
     }
     site.start("g1", late);
     CHECK(site.startsOf("late") == 0);
-    CHECK(site.told("g1", "late") == "not_started/not_after_passed");
+    CHECK(site.reportedState("g1", "late") == "not_started/not_after_passed");
 }
 
 TEST_CASE("What the backend server's answer proves")
@@ -89,7 +89,7 @@
     {
         Net::HttpTransport transport;
         int status;
-        const char *told;
+        const char *reportedState;
     };
     const Row rows[] = {
             {Net::HttpTransport::Answered, 200, "succeeded/none"},
@@ -102,12 +102,12 @@
             {Net::HttpTransport::TimedOut, 0, "unknown/task_lost"},
     };
     for (const Row &row : rows) {
-        CAPTURE(row.told);
+        CAPTURE(row.reportedState);
         AgentFixture site;
         site.join();
         site.start("g1", site.makeTask("task"));
         site.finish("task", row.status, row.transport);
-        CHECK(site.told("g1", "task") == row.told);
+        CHECK(site.reportedState("g1", "task") == row.reportedState);
     }
     Net::HttpResult unreadable;
     unreadable.transport = Net::HttpTransport::Answered;
@@ -123,13 +123,13 @@
     site.start("g1", site.makeTask("task"));
     site.finish("task");
     CHECK(site.states["g1"].size() == 1);
-    site.pass(2100);
+    site.advanceTime(2100);
     CHECK(site.states["g1"].size() == 3);
     site.acknowledge("g2", "task");
-    site.pass(1000);
+    site.advanceTime(1000);
     CHECK(site.states["g1"].size() == 4);
     site.acknowledge("g1", "task");
-    site.pass(5000);
+    site.advanceTime(5000);
     CHECK(site.states["g1"].size() == 4);
 }
 
@@ -169,16 +169,16 @@
     frame.type = Schema::FrameType::AskTasks;
     frame.askTasks = Schema::AskTasks{"ask-1", {{2, "g2", AgentFixture::Shard}}};
     site.receive("g2", frame);
-    CHECK(site.told("g2", "running") == "running/none");
-    CHECK(site.told("g2", "ended") == "succeeded/none");
-    CHECK(site.told("g2", "acknowledged") == "succeeded/none");
+    CHECK(site.reportedState("g2", "running") == "running/none");
+    CHECK(site.reportedState("g2", "ended") == "succeeded/none");
+    CHECK(site.reportedState("g2", "acknowledged") == "succeeded/none");
     CHECK(site.reports["g2"].back().answerTo == std::optional<std::string>("ask-1"));
     site.states.clear();
     site.start("g1", site.makeTask("fenced"));
-    CHECK(site.told("g1", "fenced") == "not_started/epoch_fenced");
+    CHECK(site.reportedState("g1", "fenced") == "not_started/epoch_fenced");
     site.finish("running");
-    CHECK(site.told("g2", "running") == "succeeded/none");
-    CHECK(site.told("g1", "running") == "nothing");
+    CHECK(site.reportedState("g2", "running") == "succeeded/none");
+    CHECK(site.reportedState("g1", "running") == "nothing");
 }
 
 // A planned handover: g1 gives the shard to g2 with its next epoch while tasks of it wait in the
@@ -190,11 +190,11 @@
     site.startMany("g1", 10);
     CHECK(site.runs.size() == 8);
     site.moveShard("g2", 2);
-    CHECK(site.told("g2", "job-9") == "not_started/epoch_fenced");
-    CHECK(site.told("g2", "job-0") == "running/none");
+    CHECK(site.reportedState("g2", "job-9") == "not_started/epoch_fenced");
+    CHECK(site.reportedState("g2", "job-0") == "running/none");
     site.finish("job-0");
     CHECK(site.runs.size() == 8);
-    CHECK(site.told("g2", "job-0") == "succeeded/none");
+    CHECK(site.reportedState("g2", "job-0") == "succeeded/none");
 }
 
 // An owner takes what the last frame of an answer does not list, and no earlier frame has ended,
@@ -237,7 +237,7 @@
     site.state.outcomes.options.maxRecords = 4;
     site.join();
     site.startMany("g1", 5);
-    CHECK(site.told("g1", "job-4") == "not_started/no_slot");
+    CHECK(site.reportedState("g1", "job-4") == "not_started/no_slot");
 
     AgentFixture heavy;
     heavy.state.outcomes.options.maxResultBytes = 10;
@@ -250,7 +250,7 @@
     CHECK(heavy.state.outcomes.resultBytes <= 10);
     heavy.states.clear();
     heavy.start("g1", heavy.makeTask("job-0"));
-    CHECK(heavy.told("g1", "job-0") == "unknown/task_lost");
+    CHECK(heavy.reportedState("g1", "job-0") == "unknown/task_lost");
     CHECK(heavy.startsOf("job-0") == 1);
 }
 
@@ -261,9 +261,9 @@
     site.join();
     site.start("g1", site.makeTask("task"));
     site.finish("task");
-    site.pass(4000);
+    site.advanceTime(4000);
     CHECK(site.state.outcomes.records.size() == 1);
-    site.pass(3000);
+    site.advanceTime(3000);
     CHECK(site.state.outcomes.records.empty());
     CHECK(site.state.outcomes.pendingReports.empty());
     CHECK(site.state.outcomes.resultBytes == 0);
--- a/Source/UnitTests/Agent/SlotsTest.cpp
+++ b/Source/UnitTests/Agent/SlotsTest.cpp
@@ -37,7 +37,7 @@
     AgentFixture site;
     site.demand = {{"g1", 50}, {"g2", 50}};
     site.join();
-    site.pass(600);
+    site.advanceTime(600);
     CHECK(site.windowOf("g2") == 4);
     const std::size_t before = site.reports["g2"].size();
     site.demand["g1"] = 0;
@@ -51,7 +51,7 @@
     AgentFixture site;
     site.join();
     site.demand["g2"] = 30;
-    site.pass(600);
+    site.advanceTime(600);
     site.start("g1", site.makeTask("task"));
     site.finish("task");
     CHECK(site.reports["g1"].back().window == 1);
@@ -95,12 +95,12 @@
         frame.cancelTasks->tasks.push_back(ref);
     }
     site.receive("g1", frame);
-    CHECK(site.told("g1", "job-9") == "not_started/cancelled");
+    CHECK(site.reportedState("g1", "job-9") == "not_started/cancelled");
     site.finish("job-0");
-    CHECK(site.told("g1", "job-0") == "succeeded/none");
+    CHECK(site.reportedState("g1", "job-0") == "succeeded/none");
     CHECK(site.startsOf("job-8") == 1);
     CHECK(site.startsOf("job-9") == 0);
-    CHECK(site.told("g1", "stranger") == "nothing");
+    CHECK(site.reportedState("g1", "stranger") == "nothing");
 }
 
 // The agent gets SIGTERM with tasks running and queued. Nothing in progress is cut, queued tasks go
@@ -114,7 +114,7 @@
     site.hellos.clear();
     site.carryOut(Agent::beginStop(site.state, site.now));
     site.flush();
-    CHECK(site.told("g1", "job-8") == "not_started/agent_draining");
+    CHECK(site.reportedState("g1", "job-8") == "not_started/agent_draining");
     CHECK(site.hellos.size() == 3);
     CHECK(site.hellos.back().draining);
     site.acknowledge("g1", "job-8");
@@ -130,9 +130,9 @@
     alone.join();
     alone.startMany("g1", 1);
     alone.carryOut(Agent::beginStop(alone.state, alone.now));
-    alone.pass(59'000);
+    alone.advanceTime(59'000);
     CHECK_FALSE(Agent::stopFinished(alone.state, alone.now));
-    alone.pass(2000);
+    alone.advanceTime(2000);
     CHECK(Agent::stopFinished(alone.state, alone.now));
 }
 
@@ -157,7 +157,7 @@
     };
     configure(5, true);
     site.start("g1", site.makeTask("drained"));
-    CHECK(site.told("g1", "drained") == "not_started/agent_draining");
+    CHECK(site.reportedState("g1", "drained") == "not_started/agent_draining");
     configure(4, false);
     CHECK(Agent::isDraining(site.state));
     configure(6, false);
@@ -170,14 +170,14 @@
     AgentFixture site;
     site.join();
     site.start("g1", site.makeTask("short"));
-    site.pass(100);
-    CHECK(site.told("g1", "short") == "nothing");
+    site.advanceTime(100);
+    CHECK(site.reportedState("g1", "short") == "nothing");
     site.finish("short");
     CHECK(site.states["g1"].size() == 1);
     site.acknowledge("g1", "short");
     site.start("g1", site.makeTask("long"));
-    site.pass(240);
-    CHECK(site.told("g1", "long") == "running/none");
-    site.pass(2000);
+    site.advanceTime(240);
+    CHECK(site.reportedState("g1", "long") == "running/none");
+    site.advanceTime(2000);
     CHECK(site.states["g1"].size() == 2);
 }
--- a/Source/UnitTests/Dispatch/Ownership/OwnershipTest.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/OwnershipTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::int64_t FirstServing = 2000;
+constexpr std::int64_t StartUpMs = 2000;
 
 World threeGateways(std::uint64_t seed, const Dispatch::Safeguards &safeguards = {})
 {
@@ -23,7 +23,7 @@
 TEST_CASE("Gateways that start together share the shards and serve at once")
 {
     World world = threeGateways(1);
-    run(world, FirstServing);
+    run(world, StartUpMs);
     CHECK(world.oracle.violation == "");
     CHECK(servedShards(world) == world.settings.shardCount);
     for (const auto &gateway : world.gateways) {
@@ -41,7 +41,7 @@
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         CAPTURE(seed);
         World world = threeGateways(seed);
-        run(world, FirstServing);
+        run(world, StartUpMs);
         chaos(world, ChaosPlan{}, 200);
         CHECK(world.oracle.violation == "");
         heal(world);
@@ -98,7 +98,7 @@
 
 /// Gateway 0 is heard by one agent only. It hears gateway 1 until the moment it is taken over from:
 /// for a lease it goes on believing that it may start, and so does the agent.
-void ownerLosesItsWord(World &world)
+void ownerIsPartitioned(World &world)
 {
     world.gateways[0]->cutFromLog = true;
     submitEverywhere(world, 1000);
@@ -125,8 +125,8 @@
 /// and the callers resubmit.
 void journalLagsBehind(World &world)
 {
-    world.gateways[1]->journalHeldUp = true;
-    world.gateways[2]->journalHeldUp = true;
+    world.gateways[1]->journalReadsBlocked = true;
+    world.gateways[2]->journalReadsBlocked = true;
     for (int count = 0; count < 20; ++count) {
         submit(world, 0, newJob(world), moment(world).wallMs);
         run(world, 20);
@@ -169,7 +169,7 @@
     };
     const Row rows[] = {
             {"fence majority", &Dispatch::Safeguards::fenceMajority, 3, minorityTakesOver},
-            {"lease wait", &Dispatch::Safeguards::leaseWait, 3, ownerLosesItsWord},
+            {"lease wait", &Dispatch::Safeguards::leaseWait, 3, ownerIsPartitioned},
             {"journal re-read", &Dispatch::Safeguards::journalReread, 3, journalLagsBehind},
             {"roster one at a time", &Dispatch::Safeguards::rosterOneAtATime, 1, twoJoinsInARow},
     };
@@ -185,7 +185,7 @@
                 for (int count = 0; count < row.gateways; ++count) {
                     addGateway(world);
                 }
-                run(world, FirstServing);
+                run(world, StartUpMs);
                 row.schedule(world);
                 violations += world.oracle.violation.empty() ? 0 : 1;
             }
--- a/Source/UnitTests/Dispatch/Ownership/SiteChaos.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/SiteChaos.cpp
@@ -11,12 +11,12 @@
 constexpr int ResubmittedPercent = 50;
 constexpr int HealPercent = 8;
 
-int percent(World &world)
+int drawPercent(World &world)
 {
     return static_cast<int>(world.random() % 100);
 }
 
-std::vector<std::size_t> living(const World &world)
+std::vector<std::size_t> liveGateways(const World &world)
 {
     std::vector<std::size_t> indices;
     for (std::size_t index = 0; index < world.gateways.size(); ++index) {
@@ -27,19 +27,19 @@
     return indices;
 }
 
-std::size_t anyLiving(World &world)
+std::size_t pickLiveGateway(World &world)
 {
-    const std::vector<std::size_t> indices = living(world);
+    const std::vector<std::size_t> indices = liveGateways(world);
     return indices[world.random() % indices.size()];
 }
 
-std::string anyName(World &world)
+std::string pickName(World &world)
 {
     const std::size_t count = world.agents.size();
     if (world.random() % 2 == 0) {
         return world.agents[world.random() % count].name;
     }
-    return world.gateways[anyLiving(world)]->member.instance;
+    return world.gateways[pickLiveGateway(world)]->member.instance;
 }
 
 /// The table as the log has it.
@@ -54,7 +54,7 @@
 }
 
 /// Every seat is held by a living gateway and no change is under way: one loss more can be borne.
-bool whole(const World &world, const std::vector<std::size_t> &all)
+bool hasFullRoster(const World &world, const std::vector<std::size_t> &all)
 {
     const Dispatch::ControlTable &table = latestTable(world);
     return table.previousRoster.empty() && table.roster.size() == all.size()
@@ -69,14 +69,15 @@
 /// where the others are whole, at a new one.
 void replaceGateway(World &world, const ChaosPlan &plan, std::size_t index)
 {
-    const bool newAddress = whole(world, living(world)) && percent(world) >= plan.sameAddress;
+    const bool newAddress =
+            hasFullRoster(world, liveGateways(world)) && drawPercent(world) >= plan.sameAddress;
     kill(world, index);
     addGateway(world, newAddress ? 0 : world.gateways[index]->member.peerPort);
 }
 
-void retireLeavers(World &world)
+void replaceDepartedGateways(World &world)
 {
-    for (const std::size_t index : living(world)) {
+    for (const std::size_t index : liveGateways(world)) {
         if (Dispatch::hasLeft(world.gateways[index]->site.ownership)) {
             kill(world, index);
             addGateway(world);
@@ -84,64 +85,64 @@
     }
 }
 
-void breakThings(World &world, const ChaosPlan &plan)
+void injectFaults(World &world, const ChaosPlan &plan)
 {
-    if (percent(world) < plan.kills) {
-        replaceGateway(world, plan, anyLiving(world));
+    if (drawPercent(world) < plan.kills) {
+        replaceGateway(world, plan, pickLiveGateway(world));
     }
-    if (percent(world) < plan.pauses) {
-        pause(world, anyLiving(world));
+    if (drawPercent(world) < plan.pauses) {
+        pause(world, pickLiveGateway(world));
     }
-    if (percent(world) < plan.cuts) {
-        cut(world, world.gateways[anyLiving(world)]->member.instance, anyName(world), true);
+    if (drawPercent(world) < plan.cuts) {
+        cut(world, world.gateways[pickLiveGateway(world)]->member.instance, pickName(world), true);
     }
-    if (percent(world) < plan.logCuts) {
-        world.gateways[anyLiving(world)]->cutFromLog = true;
+    if (drawPercent(world) < plan.logCuts) {
+        world.gateways[pickLiveGateway(world)]->cutFromLog = true;
     }
-    if (percent(world) < plan.outages) {
+    if (drawPercent(world) < plan.outages) {
         world.faults.available = false;
     }
-    if (percent(world) < plan.lostAnswers) {
-        world.faults.lostAnswerPercent = percent(world);
+    if (drawPercent(world) < plan.lostAnswers) {
+        world.faults.lostAnswerPercent = drawPercent(world);
     }
-    if (percent(world) < plan.leaves && whole(world, living(world))) {
-        Dispatch::leave(world.gateways[anyLiving(world)]->site.ownership);
+    if (drawPercent(world) < plan.leaves && hasFullRoster(world, liveGateways(world))) {
+        Dispatch::leave(world.gateways[pickLiveGateway(world)]->site.ownership);
     }
 }
 
-void mendSome(World &world)
+void clearSomeFaults(World &world)
 {
     for (std::size_t index = 0; index < world.gateways.size(); ++index) {
-        if (world.gateways[index]->paused && percent(world) < 2 * HealPercent) {
+        if (world.gateways[index]->paused && drawPercent(world) < 2 * HealPercent) {
             resume(world, index);
         }
-        if (percent(world) < HealPercent) {
+        if (drawPercent(world) < HealPercent) {
             world.gateways[index]->cutFromLog = false;
         }
     }
-    if (percent(world) < HealPercent) {
+    if (drawPercent(world) < HealPercent) {
         world.cuts.clear();
     }
-    if (percent(world) < HealPercent) {
+    if (drawPercent(world) < HealPercent) {
         world.faults.available = true;
     }
-    if (percent(world) < HealPercent) {
+    if (drawPercent(world) < HealPercent) {
         world.faults.lostAnswerPercent = 0;
     }
 }
 
 /// Callers resubmit what they believe lost, to any gateway that takes it.
-void submitSome(World &world)
+void submitRandomJobs(World &world)
 {
     for (int count = 0; count < SubmissionsPerRound; ++count) {
-        const bool again = world.nextJob > 0 && percent(world) < ResubmittedPercent;
+        const bool again = world.nextJob > 0 && drawPercent(world) < ResubmittedPercent;
         const std::string job =
                 again ? "job-"
                                 + std::to_string(world.random()
                                                  % static_cast<std::uint64_t>(world.nextJob))
                       : newJob(world);
         const auto submitted = world.submittedMs.emplace(job, moment(world).wallMs).first;
-        for (const std::size_t index : living(world)) {
+        for (const std::size_t index : liveGateways(world)) {
             submit(world, index, job, submitted->second);
         }
     }
@@ -152,11 +153,11 @@
 void chaos(World &world, const ChaosPlan &plan, int rounds)
 {
     for (int round = 0; round < rounds && world.oracle.violation.empty(); ++round) {
-        breakThings(world, plan);
-        submitSome(world);
+        injectFaults(world, plan);
+        submitRandomJobs(world);
         run(world, RoundMs);
-        mendSome(world);
-        retireLeavers(world);
+        clearSomeFaults(world);
+        replaceDepartedGateways(world);
     }
 }
 
--- a/Source/UnitTests/Dispatch/Ownership/SiteJobs.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/SiteJobs.cpp
@@ -36,14 +36,14 @@
     const std::int64_t epoch = Dispatch::epochOf(gateway.site.ownership, shard);
     gateway.jobs[job] = JobState::Sent;
     if (reaches(world, gateway.member.instance, agent.name)) {
-        later(world, delay(world), [&world, &agent, job, shard, epoch] {
+        scheduleEvent(world, delay(world), [&world, &agent, job, shard, epoch] {
             acceptStart(world, agent, job, shard, epoch);
         });
     }
 }
 
 /// A job that waits when its shard is lost may be started by the next owner.
-bool stillOurs(Gateway &gateway, const std::string &job)
+bool isStillOwner(Gateway &gateway, const std::string &job)
 {
     const Dispatch::OwnershipState &ownership = gateway.site.ownership;
     const std::int64_t shard = Dispatch::shardOf(ownership, job);
@@ -93,11 +93,11 @@
 
 void receiveHandover(World &world, Gateway &gateway, const Schema::Handover &handover)
 {
-    const Dispatch::HandoverResult taken =
+    const Dispatch::HandoverResult result =
             Dispatch::takeHandover(gateway.site, handover, moment(world));
     for (const Schema::JobSnapshot &job : handover.jobs) {
         const std::int64_t shard = Dispatch::shardOf(gateway.site.ownership, job.id);
-        if (std::count(taken.shards.begin(), taken.shards.end(), shard) == 0) {
+        if (std::count(result.shards.begin(), result.shards.end(), shard) == 0) {
             continue;
         }
         gateway.jobs[job.id] = job.tasks[0].sent ? JobState::Known : JobState::Waiting;
@@ -106,7 +106,7 @@
             addIntent(world, gateway, job.id, *job.answer.firstSubmittedMs);
         }
     }
-    if (!taken.accepted) {
+    if (!result.accepted) {
         return;
     }
     send(world, gateway.member.instance, handover.from,
@@ -115,14 +115,14 @@
 
 } // namespace
 
-void startWaiting(World &world, Gateway &gateway)
+void startWaitingJobs(World &world, Gateway &gateway)
 {
     std::vector<std::string> lost;
     for (auto &[job, state] : gateway.jobs) {
         if (state != JobState::Waiting) {
             continue;
         }
-        if (!stillOurs(gateway, job)) {
+        if (!isStillOwner(gateway, job)) {
             lost.push_back(job);
             continue;
         }
@@ -169,7 +169,7 @@
     if (gateway.jobs.count(job) != 0 && gateway.jobs[job] != JobState::Waiting) {
         return true;
     }
-    if (gateway.jobs.count(job) != 0 && stillOurs(gateway, job)) {
+    if (gateway.jobs.count(job) != 0 && isStillOwner(gateway, job)) {
         return true;
     }
     gateway.jobEpochs[job] = Dispatch::epochOf(ownership, shard);
--- a/Source/UnitTests/Dispatch/Ownership/SiteWorld.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/SiteWorld.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::int64_t StepMs = 5;
-constexpr std::int64_t HelloMs = 100;
+constexpr std::int64_t HelloIntervalMs = 100;
 constexpr int AppendTimeoutMs = 200;
 
 bool chance(World &world, int percent)
@@ -17,7 +17,7 @@
     return static_cast<int>(world.random() % 100) < percent;
 }
 
-Gateway *find(World &world, const std::string &instance)
+Gateway *findLiveGateway(World &world, const std::string &instance)
 {
     for (const auto &gateway : world.gateways) {
         if (gateway->member.instance == instance && gateway->alive) {
@@ -52,7 +52,7 @@
 void answerAppend(World &world, Gateway &gateway, const Dispatch::AppendToLog &append,
                   Dispatch::AppendStatus status, std::int64_t afterMs)
 {
-    later(world, afterMs, [&world, &gateway, append, status] {
+    scheduleEvent(world, afterMs, [&world, &gateway, append, status] {
         deliver(gateway, [&world, &gateway, append, status] {
             perform(world, gateway,
                     Dispatch::handleSiteAppendResult(gateway.site, append.stream, append.batch,
@@ -61,7 +61,7 @@
     });
 }
 
-void reachLog(World &world, Gateway &gateway, const Dispatch::AppendToLog &append)
+void handleAppend(World &world, Gateway &gateway, const Dispatch::AppendToLog &append)
 {
     if (!world.faults.available || gateway.cutFromLog) {
         answerAppend(world, gateway, append, Dispatch::AppendStatus::Unavailable, AppendTimeoutMs);
@@ -73,15 +73,16 @@
         return;
     }
     if (chance(world, world.faults.lostButWrittenPercent)) {
-        later(world, static_cast<std::int64_t>(world.random()) % world.faults.lateMs,
-              [&world, append] { write(world, append.stream, append.records); });
+        scheduleEvent(world, static_cast<std::int64_t>(world.random()) % world.faults.maxLateMs,
+                      [&world, append] { write(world, append.stream, append.records); });
     }
     answerAppend(world, gateway, append, Dispatch::AppendStatus::Unknown, AppendTimeoutMs);
 }
 
 void appendTo(World &world, Gateway &gateway, const Dispatch::AppendToLog &append)
 {
-    later(world, delay(world), [&world, &gateway, append] { reachLog(world, gateway, append); });
+    scheduleEvent(world, delay(world),
+                  [&world, &gateway, append] { handleAppend(world, gateway, append); });
 }
 
 void perform(World &world, Gateway &gateway, const Dispatch::Effects &effects)
@@ -98,7 +99,7 @@
     }
 }
 
-Dispatch::LogRead readAt(World &world, std::size_t stream, std::int64_t offset)
+Dispatch::LogRead makeLogRead(World &world, std::size_t stream, std::int64_t offset)
 {
     Dispatch::LogRead read;
     read.oldestOffset = world.oldest[stream];
@@ -115,16 +116,16 @@
     return read;
 }
 
-void follow(World &world, Gateway &gateway, std::size_t stream)
+void readLog(World &world, Gateway &gateway, std::size_t stream)
 {
-    const bool heldUp = gateway.journalHeldUp
-                        && stream == static_cast<std::size_t>(Dispatch::LogStream::Journal);
-    if (gateway.reading[stream] || !world.faults.available || gateway.cutFromLog || heldUp) {
+    const bool isBlocked = gateway.journalReadsBlocked
+                           && stream == static_cast<std::size_t>(Dispatch::LogStream::Journal);
+    if (gateway.reading[stream] || !world.faults.available || gateway.cutFromLog || isBlocked) {
         return;
     }
     gateway.reading[stream] = true;
-    Dispatch::LogRead read = readAt(world, stream, gateway.readOffsets[stream]);
-    later(world, delay(world), [&world, &gateway, stream, read = std::move(read)] {
+    Dispatch::LogRead read = makeLogRead(world, stream, gateway.readOffsets[stream]);
+    scheduleEvent(world, delay(world), [&world, &gateway, stream, read = std::move(read)] {
         deliver(gateway, [&world, &gateway, stream, read] {
             gateway.reading[stream] = false;
             gateway.readOffsets[stream] = read.nextOffset;
@@ -158,7 +159,7 @@
 void stepGateway(World &world, Gateway &gateway)
 {
     for (std::size_t stream = 0; stream < gateway.reading.size(); ++stream) {
-        follow(world, gateway, stream);
+        readLog(world, gateway, stream);
     }
     perform(world, gateway, Dispatch::siteTick(gateway.site, moment(world), world.random));
     // Agents' reports are left out, as when every agent is silent: the journal has to do.
@@ -166,7 +167,7 @@
          Dispatch::shardsIn(gateway.site.ownership, Dispatch::ShardPhase::NeedsReports)) {
         Dispatch::serveShard(gateway.site, shard, moment(world));
     }
-    startWaiting(world, gateway);
+    startWaitingJobs(world, gateway);
     repeatHandovers(world, gateway);
     checkEpochs(world, gateway);
 }
@@ -181,7 +182,7 @@
     if (version < pong.tableVersion) {
         pong.table = Dispatch::ownershipTable(ownership);
     }
-    later(world, delay(world), [&world, &agent, pong, sentMs] {
+    scheduleEvent(world, delay(world), [&world, &agent, pong, sentMs] {
         if (!reaches(world, pong.instance, agent.name)) {
             return;
         }
@@ -194,7 +195,7 @@
 
 void stepAgent(World &world, AgentModel &agent)
 {
-    if (world.nowMs - agent.lastHelloMs < HelloMs) {
+    if (world.nowMs - agent.lastHelloMs < HelloIntervalMs) {
         return;
     }
     agent.lastHelloMs = world.nowMs;
@@ -229,7 +230,7 @@
     return world.cuts.count(std::minmax(left, right)) == 0;
 }
 
-void later(World &world, std::int64_t ms, std::function<void()> event)
+void scheduleEvent(World &world, std::int64_t ms, std::function<void()> event)
 {
     world.events.emplace(world.nowMs + ms, std::move(event));
 }
@@ -237,8 +238,8 @@
 void send(World &world, const std::string &from, const std::string &instance,
           std::function<void(Gateway &)> work)
 {
-    later(world, delay(world), [&world, from, instance, work = std::move(work)] {
-        Gateway *gateway = find(world, instance);
+    scheduleEvent(world, delay(world), [&world, from, instance, work = std::move(work)] {
+        Gateway *gateway = findLiveGateway(world, instance);
         const bool lost = world.lostOneWay.count({from, instance}) != 0;
         if (gateway != nullptr && !lost && reaches(world, from, instance)) {
             deliver(*gateway, [gateway, work] { work(*gateway); });
--- a/Source/UnitTests/Dispatch/Ownership/SiteWorld.h
+++ b/Source/UnitTests/Dispatch/Ownership/SiteWorld.h
@@ -22,7 +22,7 @@
     /// Appends whose answer is lost, and of those the ones that take effect, maybe late.
     int lostAnswerPercent = 0;
     int lostButWrittenPercent = 50;
-    std::int64_t lateMs = 400;
+    std::int64_t maxLateMs = 400;
 };
 
 /// What the owner knows of one job.
@@ -38,7 +38,7 @@
     bool paused = false;
     bool cutFromLog = false;
     /// What it reads of the journal is held up.
-    bool journalHeldUp = false;
+    bool journalReadsBlocked = false;
     std::vector<std::function<void()>> inbox;
     std::map<std::string, JobState> jobs;
     /// Epoch under which each job was taken.
@@ -105,7 +105,7 @@
 Common::Moment moment(const World &world);
 bool reaches(const World &world, const std::string &left, const std::string &right);
 std::int64_t delay(World &world);
-void later(World &world, std::int64_t ms, std::function<void()> event);
+void scheduleEvent(World &world, std::int64_t ms, std::function<void()> event);
 /// Does \a work at the gateway \a instance once the message is there, if it ever is.
 void send(World &world, const std::string &from, const std::string &instance,
           std::function<void(Gateway &)> work);
--- a/Source/UnitTests/Dispatch/Query/QueryLanguageTest.cpp
+++ b/Source/UnitTests/Dispatch/Query/QueryLanguageTest.cpp
@@ -12,7 +12,7 @@
     return rows;
 }
 
-std::string shown(const Dispatch::QueryRows &rows)
+std::string toText(const Dispatch::QueryRows &rows)
 {
     std::string text;
     for (const Dispatch::QueryRow &row : rows.rows) {
@@ -54,7 +54,7 @@
         CHECK(Dispatch::unknownField(query, answer.columns).empty());
         Dispatch::filterRows(query, answer);
         Dispatch::shapeRows(query, answer);
-        CHECK(shown(answer) == row.answer);
+        CHECK(toText(answer) == row.answer);
     }
 }
 
--- a/Source/UnitTests/Dispatch/Scheduling/LoadModel.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/LoadModel.cpp
@@ -10,11 +10,11 @@
 
 constexpr std::int64_t LatencyMs = 1;
 /// From admission until the intent is durable.
-constexpr std::int64_t JournalMs = 3;
-constexpr std::int64_t HeartbeatMs = 500;
-constexpr double FailMs = 4;
+constexpr std::int64_t JournalDelayMs = 3;
+constexpr std::int64_t HeartbeatIntervalMs = 500;
+constexpr double FailureMs = 4;
 /// The agent gives a hanging task up.
-constexpr double HangMs = 1500;
+constexpr double HangTimeoutMs = 1500;
 constexpr std::int64_t WallOffsetMs = 1000000;
 
 struct Job
@@ -143,7 +143,7 @@
     return static_cast<std::size_t>(found - backends.begin());
 }
 
-void startArrives(World &world, const Dispatch::Assignment &assignment)
+void handleStart(World &world, const Dispatch::Assignment &assignment)
 {
     const std::size_t index = backendOf(world, assignment.agent);
     const Backend &backend = world.experiment.backends[index];
@@ -164,13 +164,13 @@
     world.result.overfilled =
             std::max(world.result.overfilled, world.running[index] - backend.slots);
     const double runMs = job.runMs[static_cast<std::size_t>(assignment.task.index)];
-    const double fails = backend.hanging ? HangMs : FailMs;
+    const double failureMs = backend.hanging ? HangTimeoutMs : FailureMs;
     const bool succeeded = !backend.failing && !backend.hanging;
-    const double took = succeeded ? std::max(1.0, runMs * backend.factor) : fails;
-    const auto endMs = world.nowMs + static_cast<std::int64_t>(std::lround(took));
+    const double durationMs = succeeded ? std::max(1.0, runMs * backend.factor) : failureMs;
+    const auto endMs = world.nowMs + static_cast<std::int64_t>(std::lround(durationMs));
     at(world, endMs, [&world, index] { world.running[index] -= 1; });
-    at(world, endMs + LatencyMs, [&world, assignment, succeeded, took] {
-        taskDone(world, assignment.task, assignment.agent, succeeded, took);
+    at(world, endMs + LatencyMs, [&world, assignment, succeeded, durationMs] {
+        taskDone(world, assignment.task, assignment.agent, succeeded, durationMs);
     });
 }
 
@@ -188,7 +188,7 @@
         world.result.lateStarts += known.outcome == Outcome::Pending ? 0 : 1;
         agents.insert(assignment.agent);
         at(world, world.nowMs + LatencyMs,
-           [&world, assignment] { startArrives(world, assignment); });
+           [&world, assignment] { handleStart(world, assignment); });
     }
     world.result.startMessages += static_cast<std::int64_t>(agents.size());
 }
@@ -229,7 +229,7 @@
         answer(world, id, Outcome::Refused, refused->reason, refused->retryAfterMs);
         return;
     }
-    at(world, world.nowMs + JournalMs,
+    at(world, world.nowMs + JournalDelayMs,
        [&world, id] { Dispatch::setJobRunnable(world.scheduler, id, moment(world)); });
     at(world, world.nowMs + stream.deadlineMs,
        [&world, id] { answer(world, id, Outcome::Failed, Schema::Reason::DeadlinePassed, 0); });
@@ -271,7 +271,7 @@
     hello.running = world.running[index];
     hello.healthy = true;
     Dispatch::agentHelloReceived(world.scheduler, hello, moment(world));
-    at(world, world.nowMs + HeartbeatMs, [&world, index] { heartbeat(world, index); });
+    at(world, world.nowMs + HeartbeatIntervalMs, [&world, index] { heartbeat(world, index); });
 }
 
 Schema::Configuration configurationOf(const Experiment &experiment)
--- a/Source/UnitTests/Dispatch/Scheduling/LoadPatternTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/LoadPatternTest.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::int64_t EndMs = 30000;
 /// Time for estimates to settle after the start.
-constexpr std::int64_t WarmMs = 5000;
+constexpr std::int64_t WarmUpMs = 5000;
 
 /// \a callers callers in three teams that together offer \a load of the site's capacity.
 std::vector<Stream> steadyLoad(const std::vector<Backend> &backends, double load, int callers,
@@ -47,7 +47,7 @@
     return experiment;
 }
 
-Stream another(const Experiment &experiment, const char *label)
+Stream copyFirstStream(const Experiment &experiment, const char *label)
 {
     Stream stream = experiment.streams.front();
     stream.label = label;
@@ -79,24 +79,24 @@
 
 double steadyP99(const Result &result)
 {
-    return LoadModel::ratioQuantile(result, {"steady", WarmMs}, 0.99);
+    return LoadModel::ratioQuantile(result, {"steady", WarmUpMs}, 0.99);
 }
 
 double steadyP50(const Result &result)
 {
-    return LoadModel::ratioQuantile(result, {"steady", WarmMs}, 0.5);
+    return LoadModel::ratioQuantile(result, {"steady", WarmUpMs}, 0.5);
 }
 
 double steadyNotCompleted(const Result &result)
 {
-    return 1 - LoadModel::shareOf(result, {"steady", WarmMs}, Outcome::Completed);
+    return 1 - LoadModel::shareOf(result, {"steady", WarmUpMs}, Outcome::Completed);
 }
 
 /// A crash brings hundreds of orders from one municipality at once, on top of a normal evening.
 Experiment burst()
 {
     Experiment experiment = steadySite(2, 0.4);
-    Stream burst = another(experiment, "burst");
+    Stream burst = copyFirstStream(experiment, "burst");
     burst.jobsPerSecond = 400;
     burst.tasks = 10;
     burst.fromMs = 10000;
@@ -109,7 +109,7 @@
 Experiment hotCaller()
 {
     Experiment experiment = steadySite(2, 0.5);
-    Stream hot = another(experiment, "hot");
+    Stream hot = copyFirstStream(experiment, "hot");
     hot.team = "team-hot";
     hot.jobsPerSecond *= 10;
     experiment.streams.push_back(hot);
@@ -150,7 +150,7 @@
 Experiment longAmongShort()
 {
     Experiment experiment = steadySite(1, 0.1, 80);
-    Stream longJob = another(experiment, "long");
+    Stream longJob = copyFirstStream(experiment, "long");
     longJob.jobsPerSecond = 20;
     longJob.runMs = 5000;
     longJob.declaredMs = 5000;
@@ -205,7 +205,7 @@
         stream.fromMs = 12000;
         stream.team = "crowd";
     }
-    Stream crowd = another(experiment, "crowd");
+    Stream crowd = copyFirstStream(experiment, "crowd");
     crowd.jobsPerSecond = 2000;
     crowd.fromMs = 10000;
     crowd.toMs = 11900;
@@ -220,7 +220,7 @@
 Experiment impossibleJobs()
 {
     Experiment experiment = steadySite(1.5, 0.5);
-    Stream impossible = another(experiment, "impossible");
+    Stream impossible = copyFirstStream(experiment, "impossible");
     impossible.jobsPerSecond = 5;
     impossible.processors = 1000;
     impossible.toMs = 20000;
@@ -267,11 +267,11 @@
 double overloadLoss(const Result &result)
 {
     return 1
-           - LoadModel::goodput(result, WarmMs, EndMs)
+           - LoadModel::goodput(result, WarmUpMs, EndMs)
                      / LoadModel::capacityOf(LoadModel::smallSite(2));
 }
 
-double refusedLate(const Result &result)
+double lateRefusalShare(const Result &result)
 {
     constexpr std::int64_t AtOnceMs = 10;
     double refused = 0;
@@ -286,15 +286,15 @@
     return late / std::max(refused, 1.0);
 }
 
-double impossibleLongestMs(const Result &result)
+double longestImpossibleJobMs(const Result &result)
 {
     double longest = 0;
     for (const LoadModel::Answer &answer : result.answers) {
-        const bool truthful = answer.outcome == Outcome::Refused && answer.tasksStarted == 0
-                              && answer.reason == Schema::Reason::NeverRunnable;
+        const bool isCorrectRefusal = answer.outcome == Outcome::Refused && answer.tasksStarted == 0
+                                      && answer.reason == Schema::Reason::NeverRunnable;
         if (answer.label == "impossible") {
-            const auto took = static_cast<double>(answer.answeredMs - answer.submittedMs);
-            longest = std::max(longest, truthful ? took : EndMs);
+            const auto durationMs = static_cast<double>(answer.answeredMs - answer.submittedMs);
+            longest = std::max(longest, isCorrectRefusal ? durationMs : EndMs);
         }
     }
     return longest;
@@ -305,7 +305,7 @@
     return static_cast<double>(result.lateStarts);
 }
 
-double hotCallerMove(const Result &result)
+double hotCallerRatio(const Result &result)
 {
     static const double alone = steadyP99(LoadModel::run(steadySite(2, 0.5)));
     return steadyP99(result) / alone;
@@ -335,8 +335,8 @@
     const Pattern patterns[] = {
             {"burst", burst(), "p99 of the others over ideal", steadyP99, 2.5, "fair queue",
              useFifo},
-            {"hot caller", hotCaller(), "p99 of the others over the same without it", hotCallerMove,
-             1.2, "fair queue", useFifo},
+            {"hot caller", hotCaller(), "p99 of the others over the same without it",
+             hotCallerRatio, 1.2, "fair queue", useFifo},
             {"hot key", hotKey(), "p99 of the others over ideal", steadyP99, 2.5,
              "lanes of the fair queue", useFifo},
             {"slow backend server", slowBackend(), "p99 over ideal", steadyP99, 2.0,
@@ -352,7 +352,7 @@
              steadyNotCompleted, 0.01, "learned estimates",
              [](Experiment &experiment) { experiment.trustDeclared = true; }},
             {"declared ten times too short", declaredTooShort(), "share of refusals not at once",
-             refusedLate, 0.05, "learned estimates",
+             lateRefusalShare, 0.05, "learned estimates",
              [](Experiment &experiment) { experiment.trustDeclared = true; }},
             {"failing worker", failingBackend(), "share not completed", steadyNotCompleted, 0.01,
              "ejection", [](Experiment &experiment) { experiment.switches.ejection = false; }},
@@ -368,18 +368,18 @@
                  useFifo(experiment);
              }},
             {"impossible jobs, answered", impossibleJobs(), "longest time to a true refusal, ms",
-             impossibleLongestMs, 5500, "refusal after the grace",
+             longestImpossibleJobMs, 5500, "refusal after the grace",
              [](Experiment &experiment) { experiment.policy.neverRunnableGraceMs = 600000; }},
             {"impossible jobs, others", impossibleJobs(), "p99 of the others over ideal", steadyP99,
              2.0, "lanes of the fair queue", useFifo},
             {"overload 2x", overloaded(2), "capacity lost to goodput", overloadLoss, 0.05,
              "admission", admitAll},
-            {"overload 2x, refusals", overloaded(2), "share of refusals not at once", refusedLate,
-             0.05, "admission", admitAll},
+            {"overload 2x, refusals", overloaded(2), "share of refusals not at once",
+             lateRefusalShare, 0.05, "admission", admitAll},
             {"overload 5x", overloaded(5), "capacity lost to goodput", overloadLoss, 0.05,
              "admission", admitAll},
-            {"overload 5x, refusals", overloaded(5), "share of refusals not at once", refusedLate,
-             0.05, "admission", admitAll},
+            {"overload 5x, refusals", overloaded(5), "share of refusals not at once",
+             lateRefusalShare, 0.05, "admission", admitAll},
             {"recovery after overload", recovery(), "p99 over ideal 5 s after its end",
              [](const Result &result) {
                  return LoadModel::ratioQuantile(result, {"steady", 18000, 19000}, 0.99);
@@ -395,13 +395,14 @@
         Experiment weakened = pattern.experiment;
         pattern.switchOff(weakened);
         const Result without = LoadModel::run(weakened);
-        const double held = pattern.measure(with);
-        const double broken = pattern.measure(without);
+        const double measuredWith = pattern.measure(with);
+        const double measuredWithout = pattern.measure(without);
         MESSAGE(std::string(pattern.name)
-                << ": " << std::string(pattern.figure) << " " << held << ", bound " << pattern.bound
-                << ", without " << std::string(pattern.switchedOff) << " " << broken);
-        CHECK(held <= pattern.bound);
-        CHECK(broken > pattern.bound);
+                << ": " << std::string(pattern.figure) << " " << measuredWith << ", bound "
+                << pattern.bound << ", without " << std::string(pattern.switchedOff) << " "
+                << measuredWithout);
+        CHECK(measuredWith <= pattern.bound);
+        CHECK(measuredWithout > pattern.bound);
         CHECK(with.doubleStarts == 0);
         CHECK(with.lateStarts == 0);
         CHECK(with.overfilled <= 0);
--- a/Source/UnitTests/Dispatch/Scheduling/SchedulerCostTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/SchedulerCostTest.cpp
@@ -24,7 +24,7 @@
     double endUs = 0;
 };
 
-double since(Clock::time_point start)
+double microsSince(Clock::time_point start)
 {
     return std::chrono::duration<double, std::micro>(Clock::now() - start).count();
 }
@@ -44,7 +44,7 @@
     return state;
 }
 
-void hearAll(Dispatch::SchedulerState &state, int backends, Common::Moment now)
+void receiveHellos(Dispatch::SchedulerState &state, int backends, Common::Moment now)
 {
     for (int index = 0; index < backends; ++index) {
         Schema::AgentHello hello;
@@ -66,15 +66,16 @@
     Dispatch::SchedulerState state = configuredState();
     Common::Random random(3);
     std::deque<std::pair<std::int64_t, Dispatch::Assignment>> running;
-    std::map<std::string, int> left;
-    double owed = 0;
+    std::map<std::string, int> tasksLeft;
+    double tasksToSubmit = 0;
     for (std::int64_t nowMs = 0; nowMs < UntilMs; ++nowMs) {
         const Common::Moment now{nowMs, WallMs + nowMs};
         if (nowMs % 500 == 0) {
-            hearAll(state, backends, now);
+            receiveHellos(state, backends, now);
         }
         auto start = Clock::now();
-        for (owed += 0.7 * 8 * backends / RunMs; owed >= TasksPerJob; owed -= TasksPerJob) {
+        for (tasksToSubmit += 0.7 * 8 * backends / RunMs; tasksToSubmit >= TasksPerJob;
+             tasksToSubmit -= TasksPerJob) {
             Dispatch::JobDemand demand;
             demand.id = "job-" + std::to_string(costs.offered);
             demand.team = "team-" + std::to_string(random() % Teams);
@@ -84,23 +85,23 @@
             demand.deadlineMs = now.wallMs + 30000;
             CHECK(!Dispatch::admitJob(state, demand, now));
             Dispatch::setJobRunnable(state, demand.id, now);
-            left[demand.id] = TasksPerJob;
+            tasksLeft[demand.id] = TasksPerJob;
             costs.offered += TasksPerJob;
         }
-        costs.admitUs += since(start);
+        costs.admitUs += microsSince(start);
         start = Clock::now();
         for (; !running.empty() && running.front().first <= nowMs; running.pop_front()) {
             const Dispatch::Assignment &ended = running.front().second;
             Dispatch::taskEnded(state, ended.task, ended.agent, true, RunMs, now);
-            if (--left[ended.task.job] == 0) {
+            if (--tasksLeft[ended.task.job] == 0) {
                 Dispatch::dropJob(state, ended.task.job);
             }
         }
-        costs.endUs += since(start);
+        costs.endUs += microsSince(start);
         start = Clock::now();
         Dispatch::expiredJobs(state, now);
         const auto assigned = Dispatch::assignTasks(state, now, random);
-        costs.assignUs += since(start);
+        costs.assignUs += microsSince(start);
         costs.assigned += static_cast<std::int64_t>(assigned.size());
         for (const Dispatch::Assignment &assignment : assigned) {
             running.emplace_back(nowMs + RunMs, assignment);
--- a/Source/UnitTests/Dispatch/Scheduling/SchedulerTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/SchedulerTest.cpp
@@ -75,7 +75,7 @@
 }
 
 /// Outcomes that teach the scheduler a run time for crew-dispatch.
-void teach(SchedulerState &state, double runMs, Common::Random &random)
+void recordRunTimes(SchedulerState &state, double runMs, Common::Random &random)
 {
     constexpr int Outcomes = 40;
     for (int index = 0; index < Outcomes; ++index) {
@@ -179,7 +179,7 @@
         Common::Random random(1);
         SchedulerState state = configuredState();
         Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
-        teach(state, 300, random);
+        recordRunTimes(state, 300, random);
         submit(state, demand("before", 40), 0, random);
         JobDemand job = demand("job", 40);
         row.change(state, job);
@@ -201,7 +201,7 @@
         Common::Random random(1);
         SchedulerState state = configuredState();
         Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
-        teach(state, 300, random);
+        recordRunTimes(state, 300, random);
         submit(state, demand("before", queued), 0, random);
         JobDemand job = demand("job");
         job.deadlineMs = WallMs + 1000;
@@ -296,7 +296,7 @@
     Common::Random random(1);
     SchedulerState state = configuredState();
     Dispatch::agentHelloReceived(state, hello("agent-1", 1), at(0));
-    teach(state, 400, random);
+    recordRunTimes(state, 400, random);
     Dispatch::agentHelloReceived(state, hello("agent-1", 1), at(0));
     const auto first = submit(state, demand("first"), 0, random);
     REQUIRE(first.size() == 1);
@@ -336,7 +336,7 @@
     Common::Random random(11);
     SchedulerState state = configuredState();
     std::map<std::string, std::int64_t> windows;
-    std::map<std::string, std::int64_t> held;
+    std::map<std::string, std::int64_t> inFlightByAgent;
     std::vector<Assignment> inFlight;
     std::set<std::pair<std::string, int>> started;
     std::vector<std::string> jobs;
@@ -344,7 +344,7 @@
     const auto end = [&](std::size_t index) {
         Assignment ended = inFlight[index];
         inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(index));
-        held[ended.agent] -= 1;
+        inFlightByAgent[ended.agent] -= 1;
         return ended;
     };
     for (int step = 0; step < Steps; ++step) {
@@ -398,8 +398,8 @@
         Dispatch::expiredJobs(state, at(nowMs));
         for (const Assignment &assignment : Dispatch::assignTasks(state, at(nowMs), random)) {
             REQUIRE(started.insert({assignment.task.job, assignment.task.index}).second);
-            held[assignment.agent] += 1;
-            REQUIRE(held[assignment.agent] <= windows[assignment.agent]);
+            inFlightByAgent[assignment.agent] += 1;
+            REQUIRE(inFlightByAgent[assignment.agent] <= windows[assignment.agent]);
             inFlight.push_back(assignment);
         }
         REQUIRE(Dispatch::totalDemand(state) >= 0);
--- a/Source/UnitTests/Gateway/LinksTest.cpp
+++ b/Source/UnitTests/Gateway/LinksTest.cpp
@@ -30,8 +30,8 @@
 TEST_CASE("A sender that never names itself fills no memory")
 {
     Gateway::Link link;
-    constexpr int Flood = 100000;
-    for (int count = 0; count < Flood; ++count) {
+    constexpr int FrameCount = 100000;
+    for (int count = 0; count < FrameCount; ++count) {
         Gateway::holdEarlyFrame(link, {});
     }
     CHECK(link.earlyFrames.size() < 2000);
--- a/Source/UnitTests/Whole/Oracle.cpp
+++ b/Source/UnitTests/Whole/Oracle.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-void breakPromise(Oracle &oracle, const std::string &what)
+void reportViolation(Oracle &oracle, const std::string &what)
 {
-    oracle.broken.push_back(what);
+    oracle.violations.push_back(what);
 }
 
-bool isWhole(const Schema::JobAnswer &answer, std::size_t tasks)
+bool isComplete(const Schema::JobAnswer &answer, std::size_t tasks)
 {
     if (!answer.results || answer.results->size() != tasks) {
         return false;
@@ -32,13 +32,13 @@
 }
 
 /// Whether a start of the job could be due to another submission than this one.
-bool hasOtherSubmission(const Oracle &oracle, const Submission &judged)
+bool hasOtherSubmission(const Oracle &oracle, const Submission &checked)
 {
     return std::any_of(oracle.submissions.begin(), oracle.submissions.end(),
-                       [&judged](const Submission &other) {
+                       [&checked](const Submission &other) {
                            const bool endedBefore =
-                                   other.isAnswered && other.answeredAtMs < judged.answeredAtMs;
-                           return &other != &judged && other.job == judged.job && !endedBefore;
+                                   other.isAnswered && other.answeredAtMs < checked.answeredAtMs;
+                           return &other != &checked && other.job == checked.job && !endedBefore;
                        });
 }
 
@@ -54,8 +54,8 @@
     const int count = ++oracle.starts[{job, index}];
     oracle.lastStartMs[job] = nowMs;
     if (count > 1) {
-        breakPromise(oracle,
-                     "started " + std::to_string(count) + " times: " + resultOf(job, index));
+        reportViolation(oracle,
+                        "started " + std::to_string(count) + " times: " + resultOf(job, index));
     }
 }
 
@@ -64,7 +64,7 @@
 {
     Submission submission;
     submission.job = job;
-    submission.madeAtMs = nowMs;
+    submission.submittedAtMs = nowMs;
     oracle.taskCounts[job] = tasks;
     oracle.submissions.push_back(std::move(submission));
     return oracle.submissions.size() - 1;
@@ -73,38 +73,38 @@
 void submissionAnswered(Oracle &oracle, std::size_t submission, const Schema::JobAnswer &answer,
                         std::int64_t nowMs)
 {
-    Submission &asked = oracle.submissions[submission];
-    if (asked.isAnswered) {
-        breakPromise(oracle, "answered twice: " + asked.job);
+    Submission &record = oracle.submissions[submission];
+    if (record.isAnswered) {
+        reportViolation(oracle, "answered twice: " + record.job);
     }
-    asked.isAnswered = true;
-    asked.answer = answer;
-    asked.answeredAtMs = nowMs;
-    if (answer.id != asked.job) {
-        breakPromise(oracle, "answer of " + answer.id + " reached " + asked.job);
+    record.isAnswered = true;
+    record.answer = answer;
+    record.answeredAtMs = nowMs;
+    if (answer.id != record.job) {
+        reportViolation(oracle, "answer of " + answer.id + " reached " + record.job);
     }
     const bool isCompleted = answer.outcome == Schema::JobOutcome::Completed;
-    if (isCompleted && !isWhole(answer, oracle.taskCounts[asked.job])) {
-        breakPromise(oracle, "completed but not whole: " + asked.job);
+    if (isCompleted && !isComplete(answer, oracle.taskCounts[record.job])) {
+        reportViolation(oracle, "completed but not whole: " + record.job);
     }
     if (!isCompleted && answer.results) {
-        breakPromise(oracle, "partial answer: " + asked.job);
+        reportViolation(oracle, "partial answer: " + record.job);
     }
-    if (answer.notRun && startedTasks(oracle, asked.job) > 0) {
-        breakPromise(oracle, "not run, but had started: " + asked.job);
+    if (answer.notRun && startedTasks(oracle, record.job) > 0) {
+        reportViolation(oracle, "not run, but had started: " + record.job);
     }
 }
 
-void configInForce(Oracle &oracle, const std::string &process, std::int64_t version)
+void recordConfigVersion(Oracle &oracle, const std::string &process, std::int64_t version)
 {
     std::int64_t &known = oracle.configVersions[process];
     if (version < known) {
-        breakPromise(oracle, "configuration went back on " + process);
+        reportViolation(oracle, "configuration went back on " + process);
     }
     known = version;
 }
 
-void judgeEnd(Oracle &oracle)
+void checkAtEnd(Oracle &oracle)
 {
     for (const Submission &submission : oracle.submissions) {
         const bool startedLater =
@@ -112,7 +112,7 @@
                 && oracle.lastStartMs.count(submission.job) != 0
                 && oracle.lastStartMs.at(submission.job) > submission.answeredAtMs;
         if (startedLater && !hasOtherSubmission(oracle, submission)) {
-            breakPromise(oracle, "not run, but started later: " + submission.job);
+            reportViolation(oracle, "not run, but started later: " + submission.job);
         }
     }
 }
--- a/Source/UnitTests/Whole/Oracle.h
+++ b/Source/UnitTests/Whole/Oracle.h
@@ -16,7 +16,7 @@
 struct Submission
 {
     std::string job;
-    std::int64_t madeAtMs = 0;
+    std::int64_t submittedAtMs = 0;
     bool isAnswered = false;
     Schema::JobAnswer answer;
     std::int64_t answeredAtMs = 0;
@@ -29,7 +29,7 @@
     std::map<std::string, std::size_t> taskCounts;
     std::vector<Submission> submissions;
     /// Promises found broken, in the order they broke.
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     std::map<std::string, std::int64_t> configVersions;
 };
 
@@ -39,9 +39,9 @@
 void submissionAnswered(Oracle &oracle, std::size_t submission, const Schema::JobAnswer &answer,
                         std::int64_t nowMs);
 /// A process has this version in force now.
-void configInForce(Oracle &oracle, const std::string &process, std::int64_t version);
+void recordConfigVersion(Oracle &oracle, const std::string &process, std::int64_t version);
 /// What can only be judged once nothing moves any more.
-void judgeEnd(Oracle &oracle);
+void checkAtEnd(Oracle &oracle);
 
 /// The result a backend server gives for a task: unlike that of any other.
 std::string resultOf(const std::string &job, std::int64_t index);
--- a/Source/UnitTests/Whole/PropertyTest.cpp
+++ b/Source/UnitTests/Whole/PropertyTest.cpp
@@ -104,18 +104,18 @@
     }
 }
 
-void faultGateway(Run &run, const Command &command)
+void injectGatewayFault(Run &run, const Command &command)
 {
     Whole::World &world = *run.world;
     const int gateway = pick(Whole::liveGateways(world), command.first);
     if (gateway < 0) {
         return;
     }
-    constexpr std::size_t FewestLeft = 2;
-    const bool mayGo = Whole::liveGateways(world).size() > FewestLeft;
-    if (command.kind == CommandKind::KillGateway && mayGo) {
+    constexpr std::size_t MinGatewaysLeft = 2;
+    const bool canRemove = Whole::liveGateways(world).size() > MinGatewaysLeft;
+    if (command.kind == CommandKind::KillGateway && canRemove) {
         Whole::killGateway(world, gateway);
-    } else if (command.kind == CommandKind::StopGateway && mayGo) {
+    } else if (command.kind == CommandKind::StopGateway && canRemove) {
         Whole::stopGateway(world, gateway);
     } else if (command.kind == CommandKind::PauseGateway) {
         Whole::pauseGateway(world, gateway, static_cast<std::int64_t>(command.second) * 8);
@@ -126,7 +126,7 @@
     }
 }
 
-void faultAgent(Run &run, const Command &command)
+void injectAgentFault(Run &run, const Command &command)
 {
     Whole::World &world = *run.world;
     const int agent = pick(Whole::liveAgents(world), command.first);
@@ -170,7 +170,7 @@
     case CommandKind::KillAgent:
     case CommandKind::PauseAgent:
     case CommandKind::SilenceAgent:
-        faultAgent(run, command);
+        injectAgentFault(run, command);
         break;
     case CommandKind::Partition:
         Whole::partition(world, pick(Whole::liveGateways(world), command.first),
@@ -182,7 +182,7 @@
         break;
     case CommandKind::LogOut:
     case CommandKind::LogBack:
-        world.log.isOut = command.kind == CommandKind::LogOut;
+        world.log.isUnavailable = command.kind == CommandKind::LogOut;
         break;
     case CommandKind::LoseAnswers:
         world.log.answersToLose += static_cast<int>(command.first % 3);
@@ -194,7 +194,7 @@
         Whole::runFor(world, static_cast<std::int64_t>(command.first) * 4);
         break;
     default:
-        faultGateway(run, command);
+        injectGatewayFault(run, command);
     }
     Whole::runFor(world, 5 + command.second % 50);
 }
@@ -205,20 +205,20 @@
     Whole::World &world = *run.world;
     world.partitions.clear();
     world.cutFromLog.clear();
-    world.log.isOut = false;
+    world.log.isUnavailable = false;
     keepThreeGateways(run);
-    constexpr std::int64_t LongestDeadlineMs = 60'000;
-    Whole::runFor(world, LongestDeadlineMs);
+    constexpr std::int64_t MaxDeadlineMs = 60'000;
+    Whole::runFor(world, MaxDeadlineMs);
 }
 
 /// What the callers of a job were told, for a promise that names it.
-std::string historyOf(const Whole::Oracle &oracle, const std::string &promise)
+std::string historyOf(const Whole::Oracle &oracle, const std::string &violation)
 {
     std::ostringstream history;
-    const std::string job = promise.substr(promise.rfind(' ') + 1);
+    const std::string job = violation.substr(violation.rfind(' ') + 1);
     for (const Whole::Submission &submission : oracle.submissions) {
         if (submission.job == job) {
-            history << " [made " << submission.madeAtMs << " answered "
+            history << " [made " << submission.submittedAtMs << " answered "
                     << (submission.isAnswered ? submission.answeredAtMs : -1) << ' '
                     << Schema::enumName(submission.answer.outcome) << ' '
                     << Schema::enumName(submission.answer.reason)
@@ -232,7 +232,7 @@
     return history.str();
 }
 
-std::string promisesBroken(const std::vector<Command> &commands, std::uint64_t seed)
+std::string findViolations(const std::vector<Command> &commands, std::uint64_t seed)
 {
     constexpr std::int64_t StartUpMs = 12'000;
     Run run;
@@ -243,17 +243,17 @@
         execute(run, command);
     }
     healAndFinish(run);
-    Whole::judgeEnd(run.world->oracle);
-    std::string broken;
-    for (const std::string &promise : run.world->oracle.broken) {
-        broken += promise + historyOf(run.world->oracle, promise) + "; ";
+    Whole::checkAtEnd(run.world->oracle);
+    std::string violations;
+    for (const std::string &violation : run.world->oracle.violations) {
+        violations += violation + historyOf(run.world->oracle, violation) + "; ";
     }
-    return broken;
+    return violations;
 }
 
 } // namespace
 
 TEST_CASE("Random commands break no promise")
 {
-    PropertyCheck::check<Command>({"random commands", 40, 80}, anyCommand(), promisesBroken);
+    PropertyCheck::check<Command>({"random commands", 40, 80}, anyCommand(), findViolations);
 }
--- a/Source/UnitTests/Whole/StoryTest.cpp
+++ b/Source/UnitTests/Whole/StoryTest.cpp
@@ -27,11 +27,11 @@
     return -1;
 }
 
-void checkPromises(World &world)
+void checkInvariants(World &world)
 {
-    Whole::judgeEnd(world.oracle);
-    for (const std::string &promise : world.oracle.broken) {
-        FAIL_CHECK(promise);
+    Whole::checkAtEnd(world.oracle);
+    for (const std::string &violation : world.oracle.violations) {
+        FAIL_CHECK(violation);
     }
 }
 
@@ -43,12 +43,12 @@
 /// Submits jobs to the gateways in turn; returns their submissions.
 std::vector<std::size_t> submitJobs(World &world, int count, int tasks, std::int64_t runMs)
 {
-    std::vector<std::size_t> asked(static_cast<std::size_t>(count));
+    std::vector<std::size_t> submitted(static_cast<std::size_t>(count));
     for (int job = 0; job < count; ++job) {
-        asked[static_cast<std::size_t>(job)] =
+        submitted[static_cast<std::size_t>(job)] =
                 Whole::submit(world, job % 3, Whole::newJob(world, tasks, runMs, 60'000));
     }
-    return asked;
+    return submitted;
 }
 
 int startsOf(const World &world, const std::string &job)
@@ -79,7 +79,7 @@
         CHECK(submissionOf(*world, number).answer.outcome == JobOutcome::Completed);
     }
     CHECK(startsOf(*world, job.id) == 3);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("The owner dies with tasks running")
@@ -93,15 +93,15 @@
         const Whole::JobRequest job = Whole::newJob(*world, 4, 3'000);
         const int owner = Whole::ownerOfJob(*world, job.id);
         REQUIRE(owner >= 0);
-        const std::size_t asked = Whole::submit(*world, otherGateway(*world, owner), job);
+        const std::size_t submitted = Whole::submit(*world, otherGateway(*world, owner), job);
         Whole::runFor(*world, 500);
         CHECK(startsOf(*world, job.id) == 4);
         Whole::killGateway(*world, owner);
         Whole::runFor(*world, 15'000);
-        REQUIRE(submissionOf(*world, asked).isAnswered);
-        CHECK(submissionOf(*world, asked).answer.outcome == JobOutcome::Completed);
+        REQUIRE(submissionOf(*world, submitted).isAnswered);
+        CHECK(submissionOf(*world, submitted).answer.outcome == JobOutcome::Completed);
         CHECK(startsOf(*world, job.id) == 4);
-        checkPromises(*world);
+        checkInvariants(*world);
     }
 }
 
@@ -112,15 +112,15 @@
     auto world = readySite(5);
     const Whole::JobRequest job = Whole::newJob(*world, 24, 2'000, 60'000);
     const int owner = Whole::ownerOfJob(*world, job.id);
-    const std::size_t asked = Whole::submit(*world, otherGateway(*world, owner), job);
+    const std::size_t submitted = Whole::submit(*world, otherGateway(*world, owner), job);
     Whole::runFor(*world, 500);
     CHECK(startsOf(*world, job.id) < 24);
     Whole::killGateway(*world, owner);
     Whole::runFor(*world, 30'000);
-    REQUIRE(submissionOf(*world, asked).isAnswered);
-    CHECK(submissionOf(*world, asked).answer.outcome == JobOutcome::Completed);
+    REQUIRE(submissionOf(*world, submitted).isAnswered);
+    CHECK(submissionOf(*world, submitted).answer.outcome == JobOutcome::Completed);
     CHECK(startsOf(*world, job.id) == 24);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A failure domain goes: the owner and an agent at once")
@@ -130,16 +130,16 @@
     auto world = readySite(6);
     const Whole::JobRequest job = Whole::newJob(*world, 16, 4'000, 40'000);
     const int owner = Whole::ownerOfJob(*world, job.id);
-    const std::size_t asked = Whole::submit(*world, otherGateway(*world, owner), job);
+    const std::size_t submitted = Whole::submit(*world, otherGateway(*world, owner), job);
     Whole::runFor(*world, 500);
     Whole::killGateway(*world, owner);
     Whole::killAgent(*world, 0);
     Whole::runFor(*world, 60'000);
-    REQUIRE(submissionOf(*world, asked).isAnswered);
-    CHECK(submissionOf(*world, asked).answer.outcome == JobOutcome::Unknown);
-    CHECK(!submissionOf(*world, asked).answer.notRun);
+    REQUIRE(submissionOf(*world, submitted).isAnswered);
+    CHECK(submissionOf(*world, submitted).answer.outcome == JobOutcome::Unknown);
+    CHECK(!submissionOf(*world, submitted).answer.notRun);
     CHECK(startsOf(*world, job.id) == 16);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("The owner is paused past its lease and woken")
@@ -159,7 +159,7 @@
         const std::size_t again = Whole::submit(*world, otherGateway(*world, owner), job);
         Whole::runFor(*world, 40'000);
         CHECK(submissionOf(*world, again).isAnswered);
-        checkPromises(*world);
+        checkInvariants(*world);
     }
 }
 
@@ -170,7 +170,7 @@
     // job to cancel, then gets the submission and starts it. Meanwhile the owner wakes, queues the
     // job, cancels it and would answer "not run": it has to learn first that the job is not its
     // own.
-    int wrong = 0;
+    int runsWithViolations = 0;
     for (const bool isConfirmed : {true, false}) {
         for (std::int64_t submitMs = 1500; submitMs <= 2400; submitMs += 300) {
             for (std::int64_t pausedMs = 3000; pausedMs <= 5500; pausedMs += 250) {
@@ -191,15 +191,15 @@
                 Whole::cancel(*world, successor, job.id);
                 Whole::runFor(*world, 35'000);
                 if (isConfirmed) {
-                    checkPromises(*world);
+                    checkInvariants(*world);
                     continue;
                 }
-                Whole::judgeEnd(world->oracle);
-                wrong += world->oracle.broken.empty() ? 0 : 1;
+                Whole::checkAtEnd(world->oracle);
+                runsWithViolations += world->oracle.violations.empty() ? 0 : 1;
             }
         }
     }
-    CHECK(wrong > 0);
+    CHECK(runsWithViolations > 0);
 }
 
 TEST_CASE("An agent is paused between its check and the start")
@@ -213,12 +213,12 @@
         world->maxRunDelayMs = 8'000;
         const Whole::JobRequest job = Whole::newJob(*world, 16, 200, 60'000);
         const int owner = Whole::ownerOfJob(*world, job.id);
-        const std::size_t asked = Whole::submit(*world, otherGateway(*world, owner), job);
+        const std::size_t submitted = Whole::submit(*world, otherGateway(*world, owner), job);
         Whole::runFor(*world, 30);
         Whole::killGateway(*world, owner);
         Whole::runFor(*world, 70'000);
-        CHECK(submissionOf(*world, asked).isAnswered);
-        checkPromises(*world);
+        CHECK(submissionOf(*world, submitted).isAnswered);
+        checkInvariants(*world);
     }
 }
 
@@ -228,17 +228,17 @@
     // same record again under the same id; callers wait a little longer and each task starts once.
     auto world = readySite(13);
     world->log.answersToLose = 3;
-    std::vector<std::size_t> asked;
+    std::vector<std::size_t> submitted;
     for (int count = 0; count < 6; ++count) {
-        asked.push_back(Whole::submit(*world, count % 3, Whole::newJob(*world, 2, 100)));
+        submitted.push_back(Whole::submit(*world, count % 3, Whole::newJob(*world, 2, 100)));
         Whole::runFor(*world, 50);
     }
     Whole::runFor(*world, 10'000);
-    for (const std::size_t number : asked) {
+    for (const std::size_t number : submitted) {
         REQUIRE(submissionOf(*world, number).isAnswered);
         CHECK(submissionOf(*world, number).answer.outcome == JobOutcome::Completed);
     }
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("Work goes on while the log is out")
@@ -246,26 +246,26 @@
     // The log goes away for a minute. The first jobs wait until their owners have declared that
     // they work unlogged; later ones start at once. When the log is back the intents are written.
     auto world = readySite(14);
-    world->log.isOut = true;
+    world->log.isUnavailable = true;
     Whole::runFor(*world, 6'000);
-    std::vector<std::size_t> asked;
+    std::vector<std::size_t> submitted;
     for (int count = 0; count < 9; ++count) {
-        asked.push_back(Whole::submit(*world, count % 3, Whole::newJob(*world, 2, 100)));
+        submitted.push_back(Whole::submit(*world, count % 3, Whole::newJob(*world, 2, 100)));
         Whole::runFor(*world, 1'000);
     }
     Whole::runFor(*world, 10'000);
-    for (const std::size_t number : asked) {
+    for (const std::size_t number : submitted) {
         REQUIRE(submissionOf(*world, number).isAnswered);
         CHECK(submissionOf(*world, number).answer.outcome == JobOutcome::Completed);
     }
-    world->log.isOut = false;
+    world->log.isUnavailable = false;
     Whole::runFor(*world, 5'000);
     std::size_t intents = 0;
     for (const Schema::LogEntry &entry : world->log.streams[Dispatch::LogStream::Journal]) {
         intents += entry.record.intents ? entry.record.intents->size() : 0;
     }
     CHECK(intents >= 9);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("The owner dies while the log is out, and its id is resubmitted")
@@ -274,7 +274,7 @@
     // job and dies. The log comes back and a successor takes over. The agents still hold the
     // outcomes, so that the resubmission is answered without a second start.
     auto world = readySite(15);
-    world->log.isOut = true;
+    world->log.isUnavailable = true;
     Whole::runFor(*world, 6'000);
     const Whole::JobRequest job = Whole::newJob(*world, 3, 500, 90'000);
     const int owner = Whole::ownerOfJob(*world, job.id);
@@ -286,12 +286,12 @@
     const std::size_t again = Whole::submit(*world, otherGateway(*world, owner), job);
     Whole::runFor(*world, 5'000);
     CHECK(!submissionOf(*world, again).isAnswered);
-    world->log.isOut = false;
+    world->log.isUnavailable = false;
     Whole::runFor(*world, 30'000);
     REQUIRE(submissionOf(*world, again).isAnswered);
     CHECK(!submissionOf(*world, again).answer.notRun);
     CHECK(startsOf(*world, job.id) == 3);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("Connections go silent while new ones work")
@@ -301,13 +301,14 @@
     for (const std::uint64_t seed : {16U, 17U, 18U}) {
         CAPTURE(seed);
         auto world = readySite(seed, 3, 1);
-        const std::size_t asked = Whole::submit(*world, 0, Whole::newJob(*world, 4, 300, 60'000));
+        const std::size_t submitted =
+                Whole::submit(*world, 0, Whole::newJob(*world, 4, 300, 60'000));
         Whole::runFor(*world, 8 + static_cast<std::int64_t>(seed) % 3);
         Whole::silenceLinks(*world, 0);
         Whole::runFor(*world, 30'000);
-        REQUIRE(submissionOf(*world, asked).isAnswered);
-        CHECK(submissionOf(*world, asked).answer.outcome == JobOutcome::Completed);
-        checkPromises(*world);
+        REQUIRE(submissionOf(*world, submitted).isAnswered);
+        CHECK(submissionOf(*world, submitted).answer.outcome == JobOutcome::Completed);
+        checkInvariants(*world);
     }
 }
 
@@ -316,16 +317,16 @@
     // One gateway is told to stop while its jobs run. It hands its shards over with them; every
     // caller, also its own, gets the whole answer, and the gateway ends.
     auto world = readySite(19);
-    const std::vector<std::size_t> asked = submitJobs(*world, 12, 3, 1'500);
+    const std::vector<std::size_t> submitted = submitJobs(*world, 12, 3, 1'500);
     Whole::runFor(*world, 300);
     Whole::stopGateway(*world, 1);
     Whole::runFor(*world, 30'000);
-    for (const std::size_t number : asked) {
+    for (const std::size_t number : submitted) {
         REQUIRE(submissionOf(*world, number).isAnswered);
         CHECK(submissionOf(*world, number).answer.outcome == JobOutcome::Completed);
     }
     CHECK(!world->gateways[1]->isAlive);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A whole site stops at once")
@@ -334,18 +335,18 @@
     // every caller gets the whole answer, and the last one, whose shards nobody is left to take,
     // ends too.
     auto world = readySite(23);
-    const std::vector<std::size_t> asked = submitJobs(*world, 6, 2, 800);
+    const std::vector<std::size_t> submitted = submitJobs(*world, 6, 2, 800);
     Whole::runFor(*world, 200);
     for (int gateway = 0; gateway < 3; ++gateway) {
         Whole::stopGateway(*world, gateway);
     }
     Whole::runFor(*world, 20'000);
-    for (const std::size_t number : asked) {
+    for (const std::size_t number : submitted) {
         REQUIRE(submissionOf(*world, number).isAnswered);
         CHECK(submissionOf(*world, number).answer.outcome == JobOutcome::Completed);
     }
     CHECK(Whole::liveGateways(*world).empty());
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A resubmission later than ids are remembered is not told \"not run\"")
@@ -362,7 +363,7 @@
     CHECK(submissionOf(*world, again).answer.reason == Reason::SubmissionTooOld);
     CHECK(!submissionOf(*world, again).answer.notRun);
     CHECK(startsOf(*world, job.id) == 1);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A late resubmission after owner and agents are gone is not told \"not run\"")
@@ -385,7 +386,7 @@
     REQUIRE(submissionOf(*world, again).isAnswered);
     CHECK(submissionOf(*world, again).answer.outcome == JobOutcome::Unknown);
     CHECK(!submissionOf(*world, again).answer.notRun);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A refused job may be submitted again")
@@ -407,7 +408,7 @@
     REQUIRE(submissionOf(*world, again).isAnswered);
     CHECK(submissionOf(*world, again).answer.outcome == JobOutcome::Completed);
     CHECK(startsOf(*world, job.id) == 2);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("Every gateway is replaced, one by one")
@@ -418,11 +419,11 @@
     const Whole::JobRequest early = Whole::newJob(*world, 2, 100, 200'000);
     Whole::submit(*world, 0, early);
     Whole::runFor(*world, 1'000);
-    std::vector<std::size_t> asked;
+    std::vector<std::size_t> submitted;
     for (int old = 0; old < 3; ++old) {
         Whole::addGateway(*world);
         Whole::runFor(*world, 20'000);
-        asked.push_back(
+        submitted.push_back(
                 Whole::submit(*world, otherGateway(*world, old), Whole::newJob(*world, 2, 400)));
         Whole::stopGateway(*world, old);
         Whole::runFor(*world, 20'000);
@@ -430,14 +431,14 @@
     }
     const std::size_t again = Whole::submit(*world, Whole::liveGateways(*world).front(), early);
     Whole::runFor(*world, 5'000);
-    for (const std::size_t number : asked) {
+    for (const std::size_t number : submitted) {
         REQUIRE(submissionOf(*world, number).isAnswered);
         CHECK(submissionOf(*world, number).answer.outcome == JobOutcome::Completed);
     }
     REQUIRE(submissionOf(*world, again).isAnswered);
     CHECK(submissionOf(*world, again).answer.outcome == JobOutcome::Completed);
     CHECK(startsOf(*world, early.id) == 2);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A cancelled job stays cancelled")
@@ -446,19 +447,19 @@
     // and a resubmission that crosses the cancellation does not revive it.
     auto world = readySite(21);
     const Whole::JobRequest job = Whole::newJob(*world, 40, 2'000, 60'000);
-    const std::size_t asked = Whole::submit(*world, 0, job);
+    const std::size_t submitted = Whole::submit(*world, 0, job);
     Whole::runFor(*world, 100);
     Whole::cancel(*world, 1, job.id);
     Whole::runFor(*world, 100);
     const std::size_t again = Whole::submit(*world, 2, job);
     Whole::runFor(*world, 20'000);
-    for (const std::size_t number : {asked, again}) {
+    for (const std::size_t number : {submitted, again}) {
         REQUIRE(submissionOf(*world, number).isAnswered);
         CHECK(submissionOf(*world, number).answer.reason == Reason::Cancelled);
         CHECK(!submissionOf(*world, number).answer.notRun);
     }
     CHECK(startsOf(*world, job.id) < 40);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
 
 TEST_CASE("A backend server that fails everything ends jobs truthfully")
@@ -479,5 +480,5 @@
     }
     CHECK(failed > 0);
     CHECK(failed < 20);
-    checkPromises(*world);
+    checkInvariants(*world);
 }
--- a/Source/UnitTests/Whole/World.cpp
+++ b/Source/UnitTests/Whole/World.cpp
@@ -53,7 +53,7 @@
     return -1;
 }
 
-bool isCut(const World &world, int one, int other)
+bool isPartitioned(const World &world, int one, int other)
 {
     return world.partitions.count(std::minmax(one, other)) != 0;
 }
@@ -97,14 +97,14 @@
     });
 }
 
-void gatewayHears(World &world, int gateway, int linkIndex, const Schema::Frame &frame)
+void handleFrameAtGateway(World &world, int gateway, int linkIndex, const Schema::Frame &frame)
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     Link &link = world.links[static_cast<std::size_t>(linkIndex)];
     if (!link.isOpen) {
         return;
     }
-    link.gatewayHeardMs = world.nowMs;
+    link.gatewayLastReceivedMs = world.nowMs;
     const std::string &instance =
             world.agents[static_cast<std::size_t>(link.agent)]->state.instance;
     const auto known = process.linkOfAgent.find(instance);
@@ -134,7 +134,7 @@
             const int gateway = now.gateway;
             deliver(*world.gateways[static_cast<std::size_t>(gateway)],
                     [&world, gateway, linkIndex, frame] {
-                        gatewayHears(world, gateway, linkIndex, frame);
+                        handleFrameAtGateway(world, gateway, linkIndex, frame);
                     });
         }
     });
@@ -169,26 +169,26 @@
 void sendBetweenGateways(World &world, int from, const std::string &to, const Schema::Frame &frame)
 {
     const int target = gatewayIndex(world, to);
-    if (target < 0 || isCut(world, from, target)) {
+    if (target < 0 || isPartitioned(world, from, target)) {
         return;
     }
     after(world, networkDelay(world), [&world, from, target, frame] {
-        if (isCut(world, from, target)) {
+        if (isPartitioned(world, from, target)) {
             return;
         }
         GatewayProcess &process = *world.gateways[static_cast<std::size_t>(target)];
         const std::string sender =
                 world.gateways[static_cast<std::size_t>(from)]->state.self.instance;
         deliver(process, [&world, &process, target, sender, frame] {
-            process.peerHeardMs[sender] = world.nowMs;
+            process.peerLastReceivedMs[sender] = world.nowMs;
             carryOut(world, target,
                      Dispatch::handleGatewayFrame(process.state, sender, frame, moment(world)));
         });
     });
 }
 
-void appendEnds(World &world, int gateway, LogStream stream, std::uint64_t batch,
-                Dispatch::AppendStatus status)
+void handleAppendEnd(World &world, int gateway, LogStream stream, std::uint64_t batch,
+                     Dispatch::AppendStatus status)
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     deliver(process, [&world, &process, gateway, stream, batch, status] {
@@ -201,9 +201,9 @@
 {
     const LogStream stream = append.stream;
     const std::uint64_t batch = append.batch;
-    if (world.log.isOut || world.cutFromLog.count(gateway) != 0) {
+    if (world.log.isUnavailable || world.cutFromLog.count(gateway) != 0) {
         after(world, AppendMs, [&world, gateway, stream, batch] {
-            appendEnds(world, gateway, stream, batch, Dispatch::AppendStatus::Unavailable);
+            handleAppendEnd(world, gateway, stream, batch, Dispatch::AppendStatus::Unavailable);
         });
         return;
     }
@@ -220,7 +220,7 @@
         const auto status =
                 isLost ? Dispatch::AppendStatus::Unknown : Dispatch::AppendStatus::Durable;
         after(world, isLost ? AppendTimeoutMs : 1, [&world, gateway, append, status] {
-            appendEnds(world, gateway, append.stream, append.batch, status);
+            handleAppendEnd(world, gateway, append.stream, append.batch, status);
         });
     });
 }
@@ -231,7 +231,7 @@
     if (!process.isAlive) {
         return;
     }
-    if (!world.log.isOut && world.cutFromLog.count(gateway) == 0 && !process.isPaused) {
+    if (!world.log.isUnavailable && world.cutFromLog.count(gateway) == 0 && !process.isPaused) {
         const auto &entries = world.log.streams[stream];
         std::int64_t &offset = process.readOffsets[stream];
         Dispatch::LogRead read;
@@ -245,7 +245,7 @@
     after(world, PollMs, [&world, gateway, stream] { pollLog(world, gateway, stream); });
 }
 
-void gatewayTicks(World &world, int gateway)
+void tickGateway(World &world, int gateway)
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     if (!process.isAlive) {
@@ -254,14 +254,14 @@
     if (!process.isPaused) {
         carryOut(world, gateway,
                  Dispatch::gatewayTick(process.state, moment(world), process.random));
-        configInForce(world.oracle, process.state.self.instance,
-                      Dispatch::configuration(process.state.site.config).version);
+        recordConfigVersion(world.oracle, process.state.self.instance,
+                            Dispatch::configuration(process.state.site.config).version);
         process.isAlive = !(process.isStopping && Dispatch::isStopped(process.state));
     }
-    after(world, GatewayTickMs, [&world, gateway] { gatewayTicks(world, gateway); });
+    after(world, GatewayTickMs, [&world, gateway] { tickGateway(world, gateway); });
 }
 
-void gatewayHousekeeps(World &world, int gateway)
+void runGatewayHousekeeping(World &world, int gateway)
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     if (!process.isAlive) {
@@ -272,22 +272,23 @@
             const Link &link = world.links[index];
             const bool isSilent =
                     link.isOpen && link.gateway == gateway
-                    && link.gatewayHeardMs + process.state.settings.agentSilenceMs < world.nowMs;
+                    && link.gatewayLastReceivedMs + process.state.settings.agentSilenceMs
+                               < world.nowMs;
             if (isSilent) {
                 closeLink(world, static_cast<int>(index));
             }
         }
-        for (auto &[peer, heardMs] : process.peerHeardMs) {
-            if (heardMs + process.state.settings.peerSilenceMs < world.nowMs) {
-                heardMs = world.nowMs;
+        for (auto &[peer, lastReceivedMs] : process.peerLastReceivedMs) {
+            if (lastReceivedMs + process.state.settings.peerSilenceMs < world.nowMs) {
+                lastReceivedMs = world.nowMs;
                 Dispatch::handleGatewayDisconnected(process.state, peer);
             }
         }
     }
-    after(world, HousekeepingMs, [&world, gateway] { gatewayHousekeeps(world, gateway); });
+    after(world, HousekeepingMs, [&world, gateway] { runGatewayHousekeeping(world, gateway); });
 }
 
-void agentTicks(World &world, int agent)
+void tickAgent(World &world, int agent)
 {
     AgentProcess &process = *world.agents[static_cast<std::size_t>(agent)];
     if (!process.isAlive) {
@@ -297,7 +298,7 @@
         carryOut(world, agent, Agent::tick(process.state, moment(world)));
         carryOut(world, agent, Agent::flush(process.state, moment(world)));
     }
-    after(world, AgentTickMs, [&world, agent] { agentTicks(world, agent); });
+    after(world, AgentTickMs, [&world, agent] { tickAgent(world, agent); });
 }
 
 void connect(World &world, int agent, const Agent::ConnectGateway &attempt)
@@ -312,7 +313,7 @@
             link.agent = agent;
             link.agentNumber = attempt.link;
             link.gateway = gateway;
-            link.gatewayHeardMs = world.nowMs;
+            link.gatewayLastReceivedMs = world.nowMs;
             world.links.push_back(link);
             process.links[attempt.link] = static_cast<int>(world.links.size()) - 1;
         }
@@ -343,16 +344,16 @@
 /// its check and the start.
 void runTask(World &world, int agent, const Schema::RunTask &task)
 {
-    const auto spread = static_cast<std::uint64_t>(world.maxRunDelayMs + 1);
+    const auto delayRange = static_cast<std::uint64_t>(world.maxRunDelayMs + 1);
     const bool isDelayed = world.random() % 8 == 0;
     const std::int64_t delayMs =
-            1 + (isDelayed ? static_cast<std::int64_t>(world.random() % spread) : 0);
+            1 + (isDelayed ? static_cast<std::int64_t>(world.random() % delayRange) : 0);
     after(world, delayMs, [&world, agent, task] {
-        constexpr int TooLate = 412;
+        constexpr int PreconditionFailed = 412;
         constexpr int ServerError = 500;
         constexpr int Ok = 200;
         if (wallMs(world) > task.notAfterMs) {
-            answerRun(world, agent, task, TooLate, "{}");
+            answerRun(world, agent, task, PreconditionFailed, "{}");
             return;
         }
         taskStarted(world.oracle, task.job, task.index, world.nowMs);
@@ -502,15 +503,15 @@
 
 void after(World &world, std::int64_t ms, Action action)
 {
-    world.agenda.push({world.nowMs + ms, ++world.lastOrder, std::move(action)});
+    world.actionQueue.push({world.nowMs + ms, ++world.lastOrder, std::move(action)});
 }
 
 void runFor(World &world, std::int64_t ms)
 {
     const std::int64_t endMs = world.nowMs + ms;
-    while (!world.agenda.empty() && world.agenda.top().atMs <= endMs) {
-        const ScheduledAction next = world.agenda.top();
-        world.agenda.pop();
+    while (!world.actionQueue.empty() && world.actionQueue.top().atMs <= endMs) {
+        const ScheduledAction next = world.actionQueue.top();
+        world.actionQueue.pop();
         world.nowMs = next.atMs;
         next.action();
     }
@@ -548,8 +549,8 @@
     self.failureDomain = "domain-" + std::to_string(index % 4);
     process->state = Dispatch::makeGateway(settings, self, moment(world));
     world.gateways.push_back(std::move(process));
-    after(world, 1, [&world, index] { gatewayTicks(world, index); });
-    after(world, 1, [&world, index] { gatewayHousekeeps(world, index); });
+    after(world, 1, [&world, index] { tickGateway(world, index); });
+    after(world, 1, [&world, index] { runGatewayHousekeeping(world, index); });
     for (const LogStream stream : {LogStream::Control, LogStream::Journal, LogStream::Config}) {
         after(world, 1, [&world, index, stream] { pollLog(world, index, stream); });
     }
@@ -575,7 +576,7 @@
     world.agents.push_back(std::move(process));
     AgentProcess &made = *world.agents.back();
     carryOut(world, index, Agent::healthAnswered(made.state, true, moment(world)));
-    after(world, 1, [&world, index] { agentTicks(world, index); });
+    after(world, 1, [&world, index] { tickAgent(world, index); });
     return index;
 }
 
@@ -642,10 +643,10 @@
     }
 }
 
-void partition(World &world, int one, int other, bool isCutNow)
+void partition(World &world, int one, int other, bool isPartitionedNow)
 {
     const std::pair<int, int> pair = std::minmax(one, other);
-    if (isCutNow) {
+    if (isPartitionedNow) {
         world.partitions.insert(pair);
     } else {
         world.partitions.erase(pair);
@@ -700,10 +701,10 @@
 
 std::size_t submit(World &world, int gateway, const JobRequest &job)
 {
-    Dispatch::CallerRequest asked;
-    asked.kind = Schema::ForwardKind::Submit;
-    asked.job = job.id;
-    Schema::SubmitJob &content = asked.submit.emplace();
+    Dispatch::CallerRequest callerRequest;
+    callerRequest.kind = Schema::ForwardKind::Submit;
+    callerRequest.job = job.id;
+    Schema::SubmitJob &content = callerRequest.submit.emplace();
     content.id = job.id;
     content.firstSubmittedMs = job.firstSubmittedMs;
     content.deadlineMs = job.deadlineMs;
@@ -715,27 +716,27 @@
     content.tasks.assign(static_cast<std::size_t>(job.tasks), task);
     const std::size_t submission =
             submissionMade(world.oracle, job.id, static_cast<std::size_t>(job.tasks), world.nowMs);
-    asked.token = std::to_string(submission);
+    callerRequest.token = std::to_string(submission);
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
-    deliver(process, [&world, &process, gateway, asked] {
-        carryOut(
-                world, gateway,
-                Dispatch::handleCallerRequest(process.state, asked, moment(world), process.random));
+    deliver(process, [&world, &process, gateway, callerRequest] {
+        carryOut(world, gateway,
+                 Dispatch::handleCallerRequest(process.state, callerRequest, moment(world),
+                                               process.random));
     });
     return submission;
 }
 
 void cancel(World &world, int gateway, const std::string &job)
 {
-    Dispatch::CallerRequest asked;
-    asked.kind = Schema::ForwardKind::Cancel;
-    asked.wait = false;
-    asked.job = job;
+    Dispatch::CallerRequest callerRequest;
+    callerRequest.kind = Schema::ForwardKind::Cancel;
+    callerRequest.wait = false;
+    callerRequest.job = job;
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
-    deliver(process, [&world, &process, gateway, asked] {
-        carryOut(
-                world, gateway,
-                Dispatch::handleCallerRequest(process.state, asked, moment(world), process.random));
+    deliver(process, [&world, &process, gateway, callerRequest] {
+        carryOut(world, gateway,
+                 Dispatch::handleCallerRequest(process.state, callerRequest, moment(world),
+                                               process.random));
     });
 }
 
--- a/Source/UnitTests/Whole/World.h
+++ b/Source/UnitTests/Whole/World.h
@@ -39,7 +39,7 @@
     bool isSilent = false;
     std::int64_t agentToGatewayFreeMs = 0;
     std::int64_t gatewayToAgentFreeMs = 0;
-    std::int64_t gatewayHeardMs = 0;
+    std::int64_t gatewayLastReceivedMs = 0;
 };
 
 struct GatewayProcess : Process
@@ -49,7 +49,7 @@
     std::map<std::string, int> linkOfAgent;
     std::map<Dispatch::LogStream, std::int64_t> readOffsets;
     /// When each other gateway was last heard, for the daemon's judgement of a silent link.
-    std::map<std::string, std::int64_t> peerHeardMs;
+    std::map<std::string, std::int64_t> peerLastReceivedMs;
     bool isStopping = false;
 };
 
@@ -69,7 +69,7 @@
 struct LogService
 {
     std::map<Dispatch::LogStream, std::vector<Schema::LogEntry>> streams;
-    bool isOut = false;
+    bool isUnavailable = false;
     /// Answers that are lost after the write.
     int answersToLose = 0;
 };
@@ -90,7 +90,7 @@
     std::int64_t nowMs = 0;
     std::uint64_t lastOrder = 0;
     Common::Random random;
-    std::priority_queue<ScheduledAction, std::vector<ScheduledAction>, std::greater<>> agenda;
+    std::priority_queue<ScheduledAction, std::vector<ScheduledAction>, std::greater<>> actionQueue;
     LogService log;
     std::vector<std::unique_ptr<GatewayProcess>> gateways;
     std::vector<std::unique_ptr<AgentProcess>> agents;
@@ -118,7 +118,7 @@
 void pauseAgent(World &world, int agent, std::int64_t ms);
 void stopGateway(World &world, int gateway);
 void silenceLinks(World &world, int agent);
-void partition(World &world, int one, int other, bool isCut);
+void partition(World &world, int one, int other, bool isPartitioned);
 std::vector<int> liveGateways(const World &world);
 std::vector<int> liveAgents(const World &world);
 
