--- a/Source/UnitTests/Dispatch/Configuration/ConfigStoreTest.cpp
+++ b/Source/UnitTests/Dispatch/Configuration/ConfigStoreTest.cpp
@@ -33,7 +33,7 @@
     return change;
 }
 
-/// Some stores on one stream.
+/// Several configuration stores that read and write one log stream.
 struct Site
 {
     std::vector<ConfigStore> stores;
@@ -124,9 +124,9 @@
 
 TEST_CASE("Of two operators who race the first in the log wins, and the loser is told")
 {
-    // Two operators change one team at two gateways, both based on version 0. The log takes one
-    // first. That one is in force everywhere; the other is told of the conflict, and its record
-    // changes nothing, not even when an answer is lost and it is appended again.
+    // Two operators change one team at two gateways, both based on version 0. The change that is
+    // first in the log takes effect everywhere; the other is answered with a conflict. Neither the
+    // second record nor a repetition of the first one, whose answer was lost, changes anything.
     for (const bool on : {true, false}) {
         CAPTURE(on);
         Safeguards safeguards;
@@ -167,8 +167,8 @@
 
 TEST_CASE("A fresh gateway starts from a snapshot after retention dropped the changes")
 {
-    // The changes are older than the log keeps them. One gateway has put the document into the log
-    // again in time; a fresh one takes that, with the changes that came after it.
+    // The log has dropped the first change because of its age. One gateway has written a snapshot
+    // of the configuration in time; a new gateway reads the snapshot and the changes after it.
     Site site(2);
     site.propose(0, team("quotes", 1), 0, 0);
     site.append(0, 0, AppendStatus::Durable);
--- a/Source/UnitTests/Dispatch/Ownership/ControlTableTest.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/ControlTableTest.cpp
@@ -60,7 +60,7 @@
     return shards(Schema::RecordKind::HandedOver, instance, base * EpochStep + count);
 }
 
-/// Whether the last of \a records counts.
+/// Whether the last of \a records takes effect.
 bool lastCounts(const std::vector<Schema::LogRecord> &records, const Safeguards &safeguards)
 {
     ControlTable table = makeControlTable(1);
@@ -78,8 +78,9 @@
 
 TEST_CASE("A control record counts only where what it was based on still holds")
 {
-    // An append is answered late or not at all and sent again, or two gateways append at once: the
-    // first record in log order counts, and the other must not, whoever reads it and whenever.
+    // An append is repeated because its answer was late or lost, or two gateways append at the same
+    // time. The first record in log order takes effect; the other must not, for any reader at any
+    // time.
     struct Row
     {
         const char *name;
--- a/Source/UnitTests/Dispatch/Ownership/OwnershipTest.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/OwnershipTest.cpp
@@ -35,9 +35,10 @@
 
 TEST_CASE("No schedule of faults starts a job twice, and a healed site serves every shard")
 {
-    // Callers resubmit everywhere while gateways die, pause, leave, lose each other, agents or the
-    // log, and appends take effect late or without an answer. Each job starts at most once, epochs
-    // at the agents never fall, and once the faults end all shards are served again.
+    // Callers resubmit to all gateways while gateways are killed, paused, leave, or lose the
+    // connection to each other, to agents or to the log, and while appends are written late or
+    // without an answer. Each job starts at most once, epochs at the agents never decrease, and all
+    // shards are served again after the faults end.
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         CAPTURE(seed);
         World world = threeGateways(seed);
@@ -59,7 +60,7 @@
     return world.gateways[gateway]->member.instance;
 }
 
-/// Callers send new jobs, and every job again, to all gateways that take them.
+/// Submits a new job to every gateway each 20 ms.
 void submitEverywhere(World &world, std::int64_t ms)
 {
     for (std::int64_t past = 0; past < ms && world.oracle.violation.empty(); past += 20) {
@@ -79,8 +80,9 @@
     });
 }
 
-/// Gateways 0 and 1 with one agent lose the log and what the third gateway says. It hears them
-/// again after it has claimed their shards, but they don't know of the claim.
+/// Gateways 0 and 1 lose the log and all messages of gateway 2, and agent 0 loses gateway 2.
+/// Gateway 2 receives their messages again after it has claimed their shards, but they don't learn
+/// of the claim.
 void minorityTakesOver(World &world)
 {
     for (const std::size_t gateway : {0U, 1U}) {
@@ -96,8 +98,9 @@
     submitEverywhere(world, 3000);
 }
 
-/// Gateway 0 is heard by one agent only. It hears gateway 1 until the moment it is taken over from:
-/// for a lease it goes on believing that it may start, and so does the agent.
+/// Gateway 0 loses the log, and its messages reach no other gateway. It receives messages of
+/// gateway 1 until its shards are claimed; from then on agent 0 reaches gateway 0 only. For the
+/// length of a lease gateway 0 still starts tasks and agent 0 accepts them.
 void ownerIsPartitioned(World &world)
 {
     world.gateways[0]->cutFromLog = true;
@@ -111,7 +114,8 @@
     }
     cut(world, nameOf(world, 0), nameOf(world, 1), true);
     cut(world, world.agents[0].name, nameOf(world, 1), true);
-    // The successors take jobs of before the declaration: those were surely not started.
+    // The successors accept jobs that were first submitted before gateway 0 declared itself
+    // unlogged: those certainly have not started.
     for (int count = 0; count < 80 && world.oracle.violation.empty(); ++count) {
         for (const std::size_t gateway : {1U, 2U}) {
             submit(world, gateway, newJob(world), WallOffsetMs + 1500);
@@ -121,8 +125,8 @@
     }
 }
 
-/// Gateway 0 starts jobs and dies; the two others have not read their intents when they take over,
-/// and the callers resubmit.
+/// Gateway 0 starts jobs and is killed. The two others have not read the intents of these jobs when
+/// they take over, and the callers resubmit.
 void journalLagsBehind(World &world)
 {
     world.gateways[1]->journalReadsBlocked = true;
@@ -140,8 +144,8 @@
     run(world, 500);
 }
 
-/// The first gateway is cut off with an agent whose roster is that one alone. Two more join: a
-/// majority of three needs neither of those who know.
+/// Gateway 0, the only member of the roster, is cut off together with agent 0, which knows this
+/// roster only. Two more gateways join: they are a majority of three without gateway 0.
 void twoJoinsInARow(World &world)
 {
     world.gateways[0]->cutFromLog = true;
@@ -157,9 +161,10 @@
 
 TEST_CASE("Each safeguard that is switched off lets two owners start tasks of a shard")
 {
-    // An owner is cut off, its successor serves, and an agent that has not heard of it goes on
-    // taking the old owner's starts: a task of one shard starts under an old epoch after one of a
-    // newer, or the same job starts twice. With the safeguard on nothing of that happens.
+    // An owner is cut off, its successor serves, and an agent that does not know of the successor
+    // still accepts starts of the old owner. Then a task starts under an older epoch after a task
+    // of the same shard under a newer one, or a job starts twice. With the safeguard on, neither
+    // happens.
     struct Row
     {
         std::string name;
--- a/Source/UnitTests/Dispatch/Ownership/SiteChaos.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/SiteChaos.cpp
@@ -42,7 +42,7 @@
     return world.gateways[pickLiveGateway(world)]->member.instance;
 }
 
-/// The table as the log has it.
+/// The newest control table that any gateway has read from the log.
 const Dispatch::ControlTable &latestTable(const World &world)
 {
     const Dispatch::ControlTable *latest = &world.gateways[0]->site.ownership.fromLog;
@@ -53,7 +53,8 @@
     return *latest;
 }
 
-/// Every seat is held by a living gateway and no change is under way: one loss more can be borne.
+/// Whether the roster consists of the live gateways \a all, none of them is leaving and no roster
+/// change is in progress. The site can then lose one more gateway.
 bool hasFullRoster(const World &world, const std::vector<std::size_t> &all)
 {
     const Dispatch::ControlTable &table = latestTable(world);
@@ -65,8 +66,8 @@
               });
 }
 
-/// A gateway that is gone is replaced at once: at its old address, which needs nobody else, or,
-/// where the others are whole, at a new one.
+/// Kills a gateway and replaces it at once: at its old address, for which it needs no other
+/// gateway, or, if the roster is full, possibly at a new address.
 void replaceGateway(World &world, const ChaosPlan &plan, std::size_t index)
 {
     const bool newAddress =
@@ -131,7 +132,8 @@
     }
 }
 
-/// Callers resubmit what they believe lost, to any gateway that takes it.
+/// Submits new jobs and resubmits old ones, as callers do after a lost answer, to all live
+/// gateways.
 void submitRandomJobs(World &world)
 {
     for (int count = 0; count < SubmissionsPerRound; ++count) {
--- a/Source/UnitTests/Dispatch/Ownership/SiteChaos.h
+++ b/Source/UnitTests/Dispatch/Ownership/SiteChaos.h
@@ -4,7 +4,7 @@
 
 namespace SiteTest {
 
-/// Which faults a random schedule may bring about; each in some of a hundred rounds.
+/// Faults that a random schedule injects: for each, the probability per round in percent.
 struct ChaosPlan
 {
     int kills = 3;
@@ -14,13 +14,13 @@
     int outages = 3;
     int lostAnswers = 10;
     int leaves = 2;
-    /// Of a hundred replacements, those that listen at the old address.
+    /// Percentage of replacements that listen at the old address.
     int sameAddress = 50;
 };
 
 /// Random faults, submissions and resubmissions for \a rounds of 100 ms.
 void chaos(World &world, const ChaosPlan &plan, int rounds);
-/// Ends every fault and replaces what is gone.
+/// Ends all faults and resumes the paused gateways.
 void heal(World &world);
 
 } // namespace SiteTest
--- a/Source/UnitTests/Dispatch/Ownership/SiteJobs.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/SiteJobs.cpp
@@ -42,7 +42,8 @@
     }
 }
 
-/// A job that waits when its shard is lost may be started by the next owner.
+/// Whether the gateway still serves the job's shard under the epoch in which it accepted the job.
+/// If not, the next owner may start a job that is still waiting here.
 bool isStillOwner(Gateway &gateway, const std::string &job)
 {
     const Dispatch::OwnershipState &ownership = gateway.site.ownership;
--- a/Source/UnitTests/Dispatch/Ownership/SiteJobs.h
+++ b/Source/UnitTests/Dispatch/Ownership/SiteJobs.h
@@ -2,13 +2,15 @@
 
 #include "SiteWorld.h"
 
-/// What an owner does with callers' jobs, as little as the oracle needs: one start for each job.
+/// A minimal model of how an owner handles callers' jobs, as far as the oracle needs it: one start
+/// for each job.
 namespace SiteTest {
 
-/// Hands \a job to a gateway, which takes it if it serves the shard. Returns whether it did.
+/// Submits \a job, first submitted at the wall time \a firstMs, to a gateway. Returns whether the
+/// gateway serves the job's shard and accepted the job.
 bool submit(World &world, std::size_t gateway, const std::string &job, std::int64_t firstMs);
 void startWaitingJobs(World &world, Gateway &gateway);
-/// Begins the handovers that are wanted, and repeats those that are not accepted yet.
+/// Begins the handovers that are wanted and sends those again that are not accepted yet.
 void repeatHandovers(World &world, Gateway &gateway);
 
 } // namespace SiteTest
--- a/Source/UnitTests/Dispatch/Ownership/SiteWorld.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/SiteWorld.cpp
@@ -27,7 +27,7 @@
     return nullptr;
 }
 
-/// A paused process takes its frames in when it wakes.
+/// Runs \a work now, or on resume if the gateway is paused. Drops it if the gateway is not alive.
 void deliver(Gateway &gateway, std::function<void()> work)
 {
     if (!gateway.alive) {
@@ -162,7 +162,8 @@
         readLog(world, gateway, stream);
     }
     perform(world, gateway, Dispatch::siteTick(gateway.site, moment(world), world.random));
-    // Agents' reports are left out, as when every agent is silent: the journal has to do.
+    // Agents' reports are not modelled, as if every agent were silent: shards are served from what
+    // the journal holds.
     for (const std::int64_t shard :
          Dispatch::shardsIn(gateway.site.ownership, Dispatch::ShardPhase::NeedsReports)) {
         Dispatch::serveShard(gateway.site, shard, moment(world));
--- a/Source/UnitTests/Dispatch/Ownership/SiteWorld.h
+++ b/Source/UnitTests/Dispatch/Ownership/SiteWorld.h
@@ -12,14 +12,16 @@
 #include "Agent/Fence.h"
 #include "Dispatch/Site.h"
 
-/// Several gateways' SiteStates, agents' fences, an in-memory log and a network between them, in
-/// virtual time. Callers' jobs are one task each; the oracle counts starts at the agents.
+/// A model of a site in virtual time: SiteStates of several gateways, fences of agents, an
+/// in-memory log and a network between them. Each job has one task; the oracle counts starts at the
+/// agents.
 namespace SiteTest {
 
 struct LogFaults
 {
     bool available = true;
-    /// Appends whose answer is lost, and of those the ones that take effect, maybe late.
+    /// Percentage of appends whose answer is lost, and of those the percentage that is still
+    /// written, up to maxLateMs late.
     int lostAnswerPercent = 0;
     int lostButWrittenPercent = 50;
     std::int64_t maxLateMs = 400;
@@ -37,11 +39,11 @@
     bool alive = true;
     bool paused = false;
     bool cutFromLog = false;
-    /// What it reads of the journal is held up.
+    /// Reads of the journal are held back.
     bool journalReadsBlocked = false;
     std::vector<std::function<void()>> inbox;
     std::map<std::string, JobState> jobs;
-    /// Epoch under which each job was taken.
+    /// Epoch in which each job was accepted.
     std::map<std::string, std::int64_t> jobEpochs;
     std::vector<Schema::Handover> handovers;
     std::int64_t handoverSentMs = 0;
@@ -54,9 +56,9 @@
     std::int64_t lastHelloMs = 0;
 };
 
-/// What broke, in words; empty for nothing.
 struct Oracle
 {
+    /// Describes the last violation found; empty if there is none.
     std::string violation;
     /// When and under which epoch each job was started.
     std::map<std::string, std::string> starts;
@@ -78,9 +80,9 @@
     std::array<std::int64_t, 3> oldest{};
     std::vector<std::unique_ptr<Gateway>> gateways;
     std::vector<AgentModel> agents;
-    /// Pairs of names that don't reach each other.
+    /// Pairs of gateways or agents that cannot reach each other.
     std::set<std::pair<std::string, std::string>> cuts;
-    /// From, to: what the first sends to the second is lost.
+    /// Pairs of sender and receiver: messages in this direction are lost.
     std::set<std::pair<std::string, std::string>> lostOneWay;
     std::multimap<std::int64_t, std::function<void()>> events;
     Oracle oracle;
@@ -94,23 +96,24 @@
 constexpr std::int64_t WallOffsetMs = 1700000000000;
 
 World makeWorld(std::uint64_t seed, int agents, const Dispatch::Safeguards &safeguards = {});
-/// A gateway at \a port, or at a port of its own. Returns its index.
+/// Adds a gateway at \a port, or at a new port if it is 0. Returns its index.
 std::size_t addGateway(World &world, int port = 0);
 void kill(World &world, std::size_t gateway);
 void pause(World &world, std::size_t gateway);
 void resume(World &world, std::size_t gateway);
 void cut(World &world, const std::string &left, const std::string &right, bool on);
-/// Lets time pass in steps of 5 ms, up to \a ms or the first violation.
+/// Runs the world for \a ms in steps of 5 ms, or until the first violation.
 void run(World &world, std::int64_t ms);
 Common::Moment moment(const World &world);
 bool reaches(const World &world, const std::string &left, const std::string &right);
 std::int64_t delay(World &world);
 void scheduleEvent(World &world, std::int64_t ms, std::function<void()> event);
-/// Does \a work at the gateway \a instance once the message is there, if it ever is.
+/// Runs \a work at the gateway \a instance when the message arrives. A message is dropped when it
+/// is lost or the gateway is not alive.
 void send(World &world, const std::string &from, const std::string &instance,
           std::function<void(Gateway &)> work);
 Gateway *servingGateway(World &world, std::int64_t shard);
-/// Shards that exactly one living gateway serves.
+/// Number of shards that exactly one live gateway serves.
 std::int64_t servedShards(World &world);
 std::string newJob(World &world);
 
--- a/Source/UnitTests/Dispatch/Persistence/JournalTest.cpp
+++ b/Source/UnitTests/Dispatch/Persistence/JournalTest.cpp
@@ -30,7 +30,7 @@
     std::uint64_t nextBatch = 1;
     Common::Random random;
 
-    /// The append that goes out at \a ms, if any.
+    /// Runs a tick at \a ms. Returns the append that it sends, if any.
     std::optional<AppendToLog> tick(std::int64_t ms)
     {
         for (const Effect &effect :
@@ -85,8 +85,9 @@
 
 TEST_CASE("An append whose answer is lost goes out again under the same record id")
 {
-    // The caller's job waits. The log wrote the intents, but its answer never came. The same record
-    // is sent again, and reading either of the two lets the job start; readers count it once.
+    // The log wrote the intents, but its answer was lost, so that the caller's job waits. The same
+    // record is sent again. The job may start when the append is answered or the record is read
+    // back; the copies count once.
     for (const bool readBack : {true, false}) {
         CAPTURE(readBack);
         Journal journal;
@@ -112,9 +113,10 @@
 TEST_CASE(
         "In a long outage jobs start once a majority knows, and are written later, in order, once")
 {
-    // The log is away. After the stated time without a durable append the owner declares itself
-    // unlogged, from the oldest submission it holds; only an acknowledged declaration lets jobs
-    // start. When the log is back all held intents are written in order before it is withdrawn.
+    // The log is unavailable. After the configured time without a durable append the owner declares
+    // itself unlogged as of the oldest submission that it holds; jobs start only after the
+    // declaration is acknowledged. When the log is available again, all held intents are written in
+    // order before the declaration is withdrawn.
     Journal journal;
     addIntent(journal.state, intentOf("a", -5000), at(0));
     const auto first = journal.tick(0);
--- a/Source/UnitTests/Dispatch/Query/QueryLanguageTest.cpp
+++ b/Source/UnitTests/Dispatch/Query/QueryLanguageTest.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("Questions filter, count, order and limit")
+TEST_CASE("Queries filter, count, order and limit")
 {
     struct Row
     {
@@ -58,7 +58,7 @@
     }
 }
 
-TEST_CASE("A wrong question is answered with the column and what was expected")
+TEST_CASE("An invalid query is answered with the column and what was expected")
 {
     struct Row
     {
--- a/Source/UnitTests/Dispatch/Scheduling/IdleRequirementTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/IdleRequirementTest.cpp
@@ -19,12 +19,12 @@
 
 } // namespace
 
-TEST_CASE("A requirement without users follows what becomes of the backend servers")
+TEST_CASE("A requirement without users is updated when backend servers change")
 {
-    // Jobs ran and ended; then an operator drains one backend server, or one joins. The next job of
-    // the same service was refused as never runnable, though other backend servers could run it:
-    // those changes were judged as if nothing could serve a requirement without users, and its next
-    // user found none able.
+    // Guards against refusing a job as never runnable although a backend server can run it. When
+    // all jobs of a service had ended and then a backend server was drained or another one joined,
+    // the change was handled as if no backend server could serve a requirement without users, so
+    // that the next job of the service found no eligible backend server.
     struct Row
     {
         const char *name;
--- a/Source/UnitTests/Dispatch/Scheduling/LoadModel.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/LoadModel.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr std::int64_t LatencyMs = 1;
-/// From admission until the intent is durable.
+/// Time from the admission of a job until its intent is durable.
 constexpr std::int64_t JournalDelayMs = 3;
 constexpr std::int64_t HeartbeatIntervalMs = 500;
 constexpr double FailureMs = 4;
-/// The agent gives a hanging task up.
+/// Time after which the agent fails a hanging task.
 constexpr double HangTimeoutMs = 1500;
 constexpr std::int64_t WallOffsetMs = 1000000;
 
@@ -72,7 +72,8 @@
     return -mean * std::log(1 - uniform(world));
 }
 
-/// Makespan on the whole site unloaded, longest task first on the fastest slot.
+/// Makespan on the unloaded site plus both network delays. Tasks are placed longest first, each on
+/// the slot that finishes it first.
 double idealMs(const std::vector<Backend> &backends, const Stream &stream,
                std::vector<double> runMs)
 {
--- a/Source/UnitTests/Dispatch/Scheduling/LoadModel.h
+++ b/Source/UnitTests/Dispatch/Scheduling/LoadModel.h
@@ -8,8 +8,9 @@
 
 #include "Dispatch/Scheduling/Scheduler.h"
 
-/// A site in virtual time around the scheduler: callers that submit whatever happens (open loop),
-/// backend servers with slots and speeds, and the answers that callers receive.
+/// A model of a site around the scheduler, in virtual time: callers that submit regardless of the
+/// answers (open loop), backend servers with slots and speeds, and the answers that callers
+/// receive.
 namespace LoadModel {
 
 struct Backend
@@ -17,18 +18,18 @@
     std::string name;
     std::string failureDomain;
     std::int64_t slots = 8;
-    /// Run times are multiplied by it.
+    /// Run times are multiplied by this factor.
     double factor = 1;
     std::vector<std::string> services;
     /// Fails every task after a few milliseconds.
     bool failing = false;
     /// Refuses every start.
     bool refusing = false;
-    /// Takes tasks, which its agent gives up after a while.
+    /// Accepts tasks and completes none; its agent fails each one after a timeout.
     bool hanging = false;
 };
 
-/// A change to the site or its callers at some time.
+/// A change to the backend servers at a given time.
 struct Change
 {
     std::int64_t atMs = 0;
@@ -37,7 +38,7 @@
 
 enum class RunTimes {
     Fixed,
-    /// From half to one and a half times.
+    /// Uniformly distributed from 0.5 to 1.5 times the run time.
     Uniform
 };
 
@@ -55,7 +56,7 @@
     std::int64_t deadlineMs = 30000;
     std::int64_t fromMs = 0;
     std::int64_t toMs = 0;
-    /// All of it that waits then is cancelled; 0 is never.
+    /// All unanswered jobs of the stream are cancelled at this time; 0 means never.
     std::int64_t cancelAtMs = 0;
     double processors = 1;
 };
@@ -69,7 +70,7 @@
     Dispatch::SchedulerSwitches switches;
     bool predictsDeadlines = true;
     bool trustDeclared = false;
-    /// Cancelled jobs are taken out of the queue.
+    /// Whether cancelled jobs are removed from the scheduler.
     bool cancels = true;
     std::int64_t untilMs = 30000;
     std::uint64_t seed = 7;
@@ -86,9 +87,9 @@
     std::int64_t submittedMs = 0;
     std::int64_t answeredMs = 0;
     std::int64_t retryAfterMs = 0;
-    /// On an unloaded site: each task on the fastest backend servers, spread over their slots.
+    /// Response time on an unloaded site, with the tasks spread over the fastest slots.
     double idealMs = 0;
-    /// Sum of its tasks' run times at factor 1.
+    /// Sum of the run times of the job's tasks at factor 1.
     double workMs = 0;
     int tasksStarted = 0;
 };
@@ -98,11 +99,11 @@
     std::vector<Answer> answers;
     std::int64_t starts = 0;
     std::int64_t refusedStarts = 0;
-    /// Tasks that started more than once.
+    /// Starts of tasks that had already started.
     std::int64_t doubleStarts = 0;
-    /// Starts after the caller was told that the job had ended.
+    /// Starts assigned after the caller had received the answer to the job.
     std::int64_t lateStarts = 0;
-    /// Most tasks at one backend server above its slots.
+    /// Largest number of tasks by which a backend server exceeded its slots.
     std::int64_t overfilled = 0;
     std::int64_t startMessages = 0;
     std::map<std::string, std::int64_t> startsByBackend;
@@ -110,7 +111,7 @@
 
 Result run(const Experiment &experiment);
 
-/// Picks answers by label and time of submission.
+/// Selects answers by label (empty for all) and time of submission in [fromMs, toMs).
 struct Selection
 {
     std::string label;
@@ -118,17 +119,18 @@
     std::int64_t toMs = INT64_MAX;
 };
 
-/// Response over ideal of the completed answers.
+/// Quantile of response time divided by ideal time, over the completed answers; infinite for none.
 double ratioQuantile(const Result &result, const Selection &selection, double quantile);
 std::int64_t countOutcome(const Result &result, const Selection &selection, Outcome outcome);
 double shareOf(const Result &result, const Selection &selection, Outcome outcome);
-/// Work of the jobs completed with their answer in [fromMs, toMs), per millisecond: slots in use
-/// for work that was worth it.
+/// Work (at factor 1) of the jobs answered as completed in [fromMs, toMs), per millisecond. This is
+/// the mean number of slots of factor 1 in use for jobs that completed.
 double goodput(const Result &result, std::int64_t fromMs, std::int64_t toMs);
 
-/// 11 backend servers of 8 slots in four failure domains, factors evenly from 1 to \a slowest.
+/// 11 backend servers of 8 slots in four failure domains, with factors spaced evenly from 1 to
+/// \a slowest.
 std::vector<Backend> smallSite(double slowest);
-/// All that the site's slots can do in a millisecond.
+/// Work (at factor 1) that all slots of the site can do per millisecond.
 double capacityOf(const std::vector<Backend> &backends);
 
 } // namespace LoadModel
--- a/Source/UnitTests/Dispatch/Scheduling/LoadPatternTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/LoadPatternTest.cpp
@@ -14,10 +14,11 @@
 namespace {
 
 constexpr std::int64_t EndMs = 30000;
-/// Time for estimates to settle after the start.
+/// Time after the start in which the estimates converge.
 constexpr std::int64_t WarmUpMs = 5000;
 
-/// \a callers callers in three teams that together offer \a load of the site's capacity.
+/// Streams of \a callers callers in three teams, with a total load of \a load times the capacity of
+/// the site.
 std::vector<Stream> steadyLoad(const std::vector<Backend> &backends, double load, int callers,
                                double runMs, std::int64_t deadlineMs = 30000)
 {
@@ -92,7 +93,7 @@
     return 1 - LoadModel::shareOf(result, {"steady", WarmUpMs}, Outcome::Completed);
 }
 
-/// A crash brings hundreds of orders from one municipality at once, on top of a normal evening.
+/// One caller submits hundreds of jobs of ten tasks at once, on top of a normal load.
 Experiment burst()
 {
     Experiment experiment = steadySite(2, 0.4);
@@ -105,7 +106,7 @@
     return experiment;
 }
 
-/// One caller offers ten times what each of the others does.
+/// One caller submits ten times as many jobs as each of the others.
 Experiment hotCaller()
 {
     Experiment experiment = steadySite(2, 0.5);
@@ -116,7 +117,7 @@
     return experiment;
 }
 
-/// Everybody asks for one service that only two backend servers run.
+/// All callers also submit jobs of one service that only two backend servers run.
 Experiment hotKey()
 {
     Experiment experiment = steadySite(2, 0.4);
@@ -159,7 +160,7 @@
     return experiment;
 }
 
-/// Declared ten times too long, with deadlines that leave room for the true times only.
+/// Run times are declared ten times too long; the deadlines suffice for the true run times only.
 Experiment declaredTooLong()
 {
     Experiment experiment = steadySite(1.5, 0.6, 200, 1500);
@@ -169,7 +170,7 @@
     return experiment;
 }
 
-/// Declared ten times too short, at twice the capacity.
+/// Run times are declared ten times too short, at twice the capacity.
 Experiment declaredTooShort()
 {
     Experiment experiment = steadySite(1.5, 2, 200, 3000);
@@ -179,7 +180,7 @@
     return experiment;
 }
 
-/// A backend server fails whatever it starts, in 4 ms.
+/// A backend server fails every task within 4 ms.
 Experiment failingBackend()
 {
     Experiment experiment = steadySite(1.5, 0.5);
@@ -188,7 +189,7 @@
     return experiment;
 }
 
-/// A backend server takes tasks and ends none; its agent gives each up after 1.5 s.
+/// A backend server accepts tasks and completes none; its agent fails each one after 1.5 s.
 Experiment hangingBackend()
 {
     Experiment experiment = steadySite(1.5, 0.5, 200, 4000);
@@ -197,7 +198,8 @@
     return experiment;
 }
 
-/// Thousands of queued jobs of one caller are cancelled at once; others go on.
+/// Thousands of queued jobs of one caller are cancelled at once; the other callers of its team
+/// start to submit 10 ms later.
 Experiment cancelWave()
 {
     Experiment experiment = steadySite(1, 0.3);
@@ -233,7 +235,7 @@
     return steadySite(2, load, 200, 3000);
 }
 
-/// Five seconds at four times the capacity, then back to 60%.
+/// Five seconds at about four times the capacity, then back to 60%.
 Experiment recovery()
 {
     Experiment experiment = steadySite(2, 0.6, 200, 3000);
@@ -248,7 +250,7 @@
     return experiment;
 }
 
-/// All backend servers of a failure domain refuse every start for 10 s and come back.
+/// All backend servers of a failure domain refuse every start for 10 s and then recover.
 Experiment refusingDomain()
 {
     Experiment experiment = steadySite(1.5, 0.6);
@@ -320,7 +322,7 @@
 {
     const char *name;
     Experiment experiment;
-    /// What callers received, as one figure that must not exceed the bound.
+    /// Describes the measured figure, which must not exceed the bound.
     const char *figure;
     double (*measure)(const Result &);
     double bound;
@@ -409,7 +411,7 @@
     }
 }
 
-TEST_CASE("Each preset is better at what its user weighs more")
+TEST_CASE("Each preset is better at the goal that it optimizes for")
 {
     for (const double load : {0.3, 0.7}) {
         Experiment experiment = steadySite(2, load);
--- a/Source/UnitTests/Dispatch/Scheduling/SchedulerCostTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/SchedulerCostTest.cpp
@@ -59,7 +59,8 @@
     }
 }
 
-/// One gateway for the whole fleet at 70% load, tasks of 200 ms in jobs of ten.
+/// Measures one gateway that schedules for all backend servers at 70% load, with tasks of 200 ms in
+/// jobs of ten.
 Costs measure(int backends)
 {
     Costs costs;
--- a/Source/UnitTests/Dispatch/Scheduling/SchedulerTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/SchedulerTest.cpp
@@ -64,7 +64,7 @@
     return state;
 }
 
-/// Admits and releases the job; returns what was assigned at once.
+/// Admits the job and makes it runnable. Returns the tasks that are assigned at once.
 std::vector<Assignment> submit(SchedulerState &state, const JobDemand &demand, std::int64_t nowMs,
                                Common::Random &random)
 {
@@ -74,7 +74,8 @@
     return Dispatch::assignTasks(state, at(nowMs), random);
 }
 
-/// Outcomes that teach the scheduler a run time for crew-dispatch.
+/// Runs 40 jobs of one task each, from which the scheduler learns \a runMs as the run time of
+/// crew-dispatch.
 void recordRunTimes(SchedulerState &state, double runMs, Common::Random &random)
 {
     constexpr int Outcomes = 40;
@@ -145,7 +146,7 @@
     }
 }
 
-TEST_CASE("A job is refused whole, with its reason and a time to come again")
+TEST_CASE("A job is refused as a whole, with its reason and a retry delay")
 {
     struct Row
     {
@@ -194,7 +195,7 @@
     }
 }
 
-TEST_CASE("The time to come again grows with the backlog")
+TEST_CASE("The retry delay grows with the backlog")
 {
     std::int64_t before = 0;
     for (const int queued : {100, 200, 360}) {
@@ -229,8 +230,8 @@
 
 TEST_CASE("A refused start waits out its back-off and is given up after its attempts")
 {
-    // The backend server of the only agent is down: each start is refused, nothing ever runs. The
-    // task is offered again, later each time, and not for ever.
+    // The backend server of the only agent is down: each start is refused and no task runs. The
+    // task is retried with a growing delay, and only for a limited number of attempts.
     Common::Random random(1);
     SchedulerState state = configuredState();
     Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
@@ -257,10 +258,11 @@
           == RetryDecision::Ignored);
 }
 
-TEST_CASE("Refused starts pause their agent only where they tell of it, and once for all together")
+TEST_CASE("Refused starts pause their agent only if it cannot run tasks, and once per batch")
 {
-    // An agent gives back its eight tasks in one message. After a cancel wave or a takeover it is
-    // as able as before and must get work at once; with its backend server down it must not.
+    // An agent returns its eight tasks in one message. If they were cancelled or the shard changed
+    // its owner, the agent can still run tasks and must get new ones at once. If its backend server
+    // is down, it must get none until the pause ends.
     struct Row
     {
         Reason reason;
@@ -289,10 +291,11 @@
     }
 }
 
-TEST_CASE("A job nothing of which has started ends when its deadline cannot be met")
+TEST_CASE("A job without a started task ends when its deadline cannot be met")
 {
-    // No backend server is free until the deadline. The caller is told that nothing ran, as soon as
-    // too little time is left and not after it.
+    // No backend server is free until the deadline. The job is refused as soon as the remaining
+    // time is too short, not only after the deadline, so that the caller learns early that nothing
+    // ran.
     Common::Random random(1);
     SchedulerState state = configuredState();
     Dispatch::agentHelloReceived(state, hello("agent-1", 1), at(0));
@@ -330,7 +333,7 @@
     CHECK(Dispatch::assignTasks(state, at(50), random).size() == 1);
 }
 
-TEST_CASE("Random lives of jobs and agents keep every promise of the scheduler")
+TEST_CASE("Random sequences of job and agent events violate no invariant of the scheduler")
 {
     constexpr int Steps = 30000;
     Common::Random random(11);
