--- a/Source/UnitTests/Whole/Oracle.cpp
+++ b/Source/UnitTests/Whole/Oracle.cpp
@@ -31,7 +31,7 @@
                           [&job](const auto &entry) { return entry.first.first == job; }));
 }
 
-/// Whether a start of the job could be due to another submission than this one.
+/// Whether another submission of the job, not answered before this one, may have started its tasks.
 bool hasOtherSubmission(const Oracle &oracle, const Submission &checked)
 {
     return std::any_of(oracle.submissions.begin(), oracle.submissions.end(),
@@ -85,13 +85,13 @@
     }
     const bool isCompleted = answer.outcome == Schema::JobOutcome::Completed;
     if (isCompleted && !isComplete(answer, oracle.taskCounts[record.job])) {
-        reportViolation(oracle, "completed but not whole: " + record.job);
+        reportViolation(oracle, "completed with incomplete results: " + record.job);
     }
     if (!isCompleted && answer.results) {
-        reportViolation(oracle, "partial answer: " + record.job);
+        reportViolation(oracle, "results in an answer that is not completed: " + record.job);
     }
     if (answer.notRun && startedTasks(oracle, record.job) > 0) {
-        reportViolation(oracle, "not run, but had started: " + record.job);
+        reportViolation(oracle, "answered as not run after a start: " + record.job);
     }
 }
 
@@ -99,7 +99,7 @@
 {
     std::int64_t &known = oracle.configVersions[process];
     if (version < known) {
-        reportViolation(oracle, "configuration went back on " + process);
+        reportViolation(oracle, "configuration version decreased on " + process);
     }
     known = version;
 }
@@ -112,7 +112,7 @@
                 && oracle.lastStartMs.count(submission.job) != 0
                 && oracle.lastStartMs.at(submission.job) > submission.answeredAtMs;
         if (startedLater && !hasOtherSubmission(oracle, submission)) {
-            reportViolation(oracle, "not run, but started later: " + submission.job);
+            reportViolation(oracle, "answered as not run before a start: " + submission.job);
         }
     }
 }
--- a/Source/UnitTests/Whole/Oracle.h
+++ b/Source/UnitTests/Whole/Oracle.h
@@ -9,8 +9,8 @@
 
 #include "Schema/Schema.h"
 
-/// Judges a run by what backend servers started and what callers were told, knowing nothing of how
-/// the system works.
+/// Checks a run by the starts at the backend servers, the answers to callers and the configuration
+/// versions in use only, independently of how the system works.
 namespace Whole {
 
 struct Submission
@@ -28,7 +28,8 @@
     std::map<std::string, std::int64_t> lastStartMs;
     std::map<std::string, std::size_t> taskCounts;
     std::vector<Submission> submissions;
-    /// Promises found broken, in the order they broke.
+    /// Descriptions of the violations in the order in which they were found; each ends in the job,
+    /// the task or the process.
     std::vector<std::string> violations;
     std::map<std::string, std::int64_t> configVersions;
 };
@@ -38,12 +39,12 @@
                            std::int64_t nowMs);
 void submissionAnswered(Oracle &oracle, std::size_t submission, const Schema::JobAnswer &answer,
                         std::int64_t nowMs);
-/// A process has this version in force now.
+/// Records the configuration version that a process uses now. A decrease is a violation.
 void recordConfigVersion(Oracle &oracle, const std::string &process, std::int64_t version);
-/// What can only be judged once nothing moves any more.
+/// Checks what can only be decided after the last event of a run.
 void checkAtEnd(Oracle &oracle);
 
-/// The result a backend server gives for a task: unlike that of any other.
+/// The result that a backend server returns for a task; unique for each task.
 std::string resultOf(const std::string &job, std::int64_t index);
 
 } // namespace Whole
--- a/Source/UnitTests/Whole/PropertyTest.cpp
+++ b/Source/UnitTests/Whole/PropertyTest.cpp
@@ -58,7 +58,7 @@
     return stream << Common::nameOf(CommandNames, kind);
 }
 
-/// Faults are rarer than work, or nothing would ever be served.
+/// Faults have lower weights than submissions and waits; otherwise no job would ever complete.
 rc::Gen<Command> anyCommand()
 {
     using rc::gen::element;
@@ -199,7 +199,8 @@
     Whole::runFor(world, 5 + command.second % 50);
 }
 
-/// After the faults: everything works again, and every caller whose gateway lives gets an answer.
+/// Ends partitions and log faults, restores three gateways and runs for the longest deadline, in
+/// which every caller whose gateway is alive gets an answer.
 void healAndFinish(Run &run)
 {
     Whole::World &world = *run.world;
@@ -211,14 +212,14 @@
     Whole::runFor(world, MaxDeadlineMs);
 }
 
-/// What the callers of a job were told, for a promise that names it.
+/// The answers to the callers of the job that the violation ends in.
 std::string historyOf(const Whole::Oracle &oracle, const std::string &violation)
 {
     std::ostringstream history;
     const std::string job = violation.substr(violation.rfind(' ') + 1);
     for (const Whole::Submission &submission : oracle.submissions) {
         if (submission.job == job) {
-            history << " [made " << submission.submittedAtMs << " answered "
+            history << " [submitted " << submission.submittedAtMs << " answered "
                     << (submission.isAnswered ? submission.answeredAtMs : -1) << ' '
                     << Schema::enumName(submission.answer.outcome) << ' '
                     << Schema::enumName(submission.answer.reason)
--- a/Source/UnitTests/Whole/StoryTest.cpp
+++ b/Source/UnitTests/Whole/StoryTest.cpp
@@ -40,7 +40,7 @@
     return world.oracle.submissions[number];
 }
 
-/// Submits jobs to the gateways in turn; returns their submissions.
+/// Submits jobs to the three gateways in turn. Returns the indices of the submissions.
 std::vector<std::size_t> submitJobs(World &world, int count, int tasks, std::int64_t runMs)
 {
     std::vector<std::size_t> submitted(static_cast<std::size_t>(count));
@@ -64,8 +64,9 @@
 
 TEST_CASE("Every gateway answers for a job, and a resubmission starts nothing")
 {
-    // A clerk submits, loses patience, and submits the same order at another counter while it runs
-    // and again when it has ended. All three answers are the same and the steel is cut once.
+    // A caller submits a job, submits it again to another gateway while it runs, and to a third one
+    // after it has ended. All three submissions are answered as completed and each task starts
+    // once.
     auto world = readySite(1);
     const Whole::JobRequest job = Whole::newJob(*world, 3, 500);
     const std::size_t first = Whole::submit(*world, 0, job);
@@ -84,9 +85,9 @@
 
 TEST_CASE("The owner dies with tasks running")
 {
-    // The job's owner is killed while its tasks run. The caller's gateway asks the successor, which
-    // claims the shard, waits out the agents' lease, learns from the agents what runs, and answers
-    // with all results. Nothing is started again.
+    // The job's owner is killed while its tasks run. The successor claims the shard, waits until
+    // the agents' lease has expired and learns from the agents which tasks run. The caller's
+    // gateway forwards the request to it and gets all results. No task starts again.
     for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
         CAPTURE(seed);
         auto world = readySite(seed);
@@ -107,8 +108,9 @@
 
 TEST_CASE("The owner dies with tasks still in its queue")
 {
-    // Two dozen long tasks wait behind 16 slots when the owner dies. The successor proves from a
-    // majority of gateways and from every agent that the waiting ones never started, and runs them.
+    // The owner of 24 long tasks is killed while some of them wait for the 16 slots. The successor
+    // proves from a majority of gateways and from every agent that these never started, and runs
+    // them.
     auto world = readySite(5);
     const Whole::JobRequest job = Whole::newJob(*world, 24, 2'000, 60'000);
     const int owner = Whole::ownerOfJob(*world, job.id);
@@ -123,10 +125,10 @@
     checkInvariants(*world);
 }
 
-TEST_CASE("A failure domain goes: the owner and an agent at once")
+TEST_CASE("A failure domain fails: the owner and an agent at once")
 {
-    // The owner dies together with an agent that ran some of the tasks. Nobody can know how those
-    // ended, so that the caller hears "unknown", never "not run", and nothing is started again.
+    // The owner is killed together with an agent that ran some of the tasks. How these ended cannot
+    // be determined, so that the answer is "unknown", never "not run", and no task starts again.
     auto world = readySite(6);
     const Whole::JobRequest job = Whole::newJob(*world, 16, 4'000, 40'000);
     const int owner = Whole::ownerOfJob(*world, job.id);
@@ -144,9 +146,9 @@
 
 TEST_CASE("The owner is paused past its lease and woken")
 {
-    // The owner freezes, another gateway takes its shards and runs a resubmission; then the old
-    // owner wakes with the first submission's tasks still in its queue. The agents know the new
-    // epoch and refuse its starts.
+    // The owner is paused, another gateway takes over its shards and runs a resubmission; then the
+    // old owner resumes with the tasks of the first submission still in its queue. The agents know
+    // the new epoch and refuse its starts.
     for (const std::uint64_t seed : {7U, 8U, 9U}) {
         CAPTURE(seed);
         auto world = readySite(seed);
@@ -165,11 +167,11 @@
 
 TEST_CASE("The owner wakes with a submission and its cancellation in its sockets")
 {
-    // The owner is paused. Shortly before it is given up, a caller submits a job through one
-    // gateway and cancels it through another; both forward to the owner. Its successor has no such
-    // job to cancel, then gets the submission and starts it. Meanwhile the owner wakes, queues the
-    // job, cancels it and would answer "not run": it has to learn first that the job is not its
-    // own.
+    // The owner is paused. Shortly before its peers consider it lost, a caller submits a job
+    // through one gateway and cancels it through another; both forward to the owner. The successor
+    // has no such job to cancel, then gets the submission and starts it. Meanwhile the owner
+    // resumes, queues the job, cancels it and would answer "not run". It must first find out that
+    // it no longer owns the job.
     int runsWithViolations = 0;
     for (const bool isConfirmed : {true, false}) {
         for (std::int64_t submitMs = 1500; submitMs <= 2400; submitMs += 300) {
@@ -204,9 +206,10 @@
 
 TEST_CASE("An agent is paused between its check and the start")
 {
-    // The agent accepts a start and is stopped before its request reaches the backend server; the
-    // lease runs out and the shard changes hands meanwhile. The start carries the time after which
-    // the backend server must refuse it, so that the task does not start under a fence.
+    // The agent accepts a start and is paused before its request reaches the backend server;
+    // meanwhile the lease expires and the shard changes its owner. The start carries the time after
+    // which the backend server must refuse it, so that the task does not start after its epoch was
+    // fenced.
     for (const std::uint64_t seed : {10U, 11U, 12U}) {
         CAPTURE(seed);
         auto world = readySite(seed);
@@ -224,8 +227,8 @@
 
 TEST_CASE("The log loses answers after the write")
 {
-    // The answers to the next appends are lost though the records were written. The owner sends the
-    // same record again under the same id; callers wait a little longer and each task starts once.
+    // The answers to the next three appends are lost although the records were written. The owner
+    // sends the same record again under the same id; callers wait longer and each task starts once.
     auto world = readySite(13);
     world->log.answersToLose = 3;
     std::vector<std::size_t> submitted;
@@ -243,8 +246,9 @@
 
 TEST_CASE("Work goes on while the log is out")
 {
-    // The log goes away for a minute. The first jobs wait until their owners have declared that
-    // they work unlogged; later ones start at once. When the log is back the intents are written.
+    // The log is unavailable for 25 seconds. Jobs wait until their owners have declared themselves
+    // unlogged; after that jobs start at once. When the log is available again, the intents are
+    // written.
     auto world = readySite(14);
     world->log.isUnavailable = true;
     Whole::runFor(*world, 6'000);
@@ -271,8 +275,8 @@
 TEST_CASE("The owner dies while the log is out, and its id is resubmitted")
 {
     // The owner cannot write the job's intent, declares itself unlogged after two seconds, runs the
-    // job and dies. The log comes back and a successor takes over. The agents still hold the
-    // outcomes, so that the resubmission is answered without a second start.
+    // job and is killed. The log becomes available again and a successor takes over. The agents
+    // still hold the outcomes, so that the resubmission is answered without a second start.
     auto world = readySite(15);
     world->log.isUnavailable = true;
     Whole::runFor(*world, 6'000);
@@ -296,8 +300,8 @@
 
 TEST_CASE("Connections go silent while new ones work")
 {
-    // Every connection of one agent stops carrying anything while both ends think it open. The
-    // agent dials anew, the owner asks what arrived before it sends anything again.
+    // All connections of an agent stay open at both ends but lose every frame. The agent opens new
+    // ones, and the owner asks the agent which tasks arrived before it sends any task again.
     for (const std::uint64_t seed : {16U, 17U, 18U}) {
         CAPTURE(seed);
         auto world = readySite(seed, 3, 1);
@@ -314,8 +318,8 @@
 
 TEST_CASE("A gateway stops gracefully under load")
 {
-    // One gateway is told to stop while its jobs run. It hands its shards over with them; every
-    // caller, also its own, gets the whole answer, and the gateway ends.
+    // A gateway gets a stop request while its jobs run. It hands its shards over together with the
+    // jobs; every caller, including its own, gets the complete answer, and the gateway ends.
     auto world = readySite(19);
     const std::vector<std::size_t> submitted = submitJobs(*world, 12, 3, 1'500);
     Whole::runFor(*world, 300);
@@ -331,9 +335,9 @@
 
 TEST_CASE("A whole site stops at once")
 {
-    // All gateways are told to stop together while jobs run. Each takes what the others hand over,
-    // every caller gets the whole answer, and the last one, whose shards nobody is left to take,
-    // ends too.
+    // All gateways get a stop request together while jobs run. Each accepts what the others hand
+    // over and every caller gets the complete answer. The last gateway ends too, although no other
+    // is left to take over its shards.
     auto world = readySite(23);
     const std::vector<std::size_t> submitted = submitJobs(*world, 6, 2, 800);
     Whole::runFor(*world, 200);
@@ -349,10 +353,10 @@
     checkInvariants(*world);
 }
 
-TEST_CASE("A resubmission later than ids are remembered is not told \"not run\"")
+TEST_CASE("A resubmission after its id has expired is not answered \"not run\"")
 {
-    // An order ran eleven minutes ago and its id has been forgotten. The clerk submits it again: it
-    // is refused as too old, nothing is started, and the answer does not claim that it never ran.
+    // A job ran eleven minutes ago and its id has expired. The caller submits it again: it is
+    // refused as too old, no task starts, and the answer does not claim that the job never ran.
     auto world = readySite(25);
     const Whole::JobRequest job = Whole::newJob(*world, 1, 100);
     Whole::submit(*world, 0, job);
@@ -366,10 +370,10 @@
     checkInvariants(*world);
 }
 
-TEST_CASE("A late resubmission after owner and agents are gone is not told \"not run\"")
+TEST_CASE("A late resubmission after owner and agents are gone is not answered \"not run\"")
 {
-    // A job runs, then its owner and every agent are lost. The caller comes back after the
-    // deadline: only the journal still knows the id, and the answer is "unknown", not "not run".
+    // A job runs, then its owner and all agents are killed. The caller resubmits it after the
+    // deadline: only the journal still has the id, and the answer is "unknown", not "not run".
     auto world = readySite(26);
     const Whole::JobRequest job = Whole::newJob(*world, 4, 200, 3'000);
     const int owner = Whole::ownerOfJob(*world, job.id);
@@ -391,8 +395,8 @@
 
 TEST_CASE("A refused job may be submitted again")
 {
-    // No backend server is there when the job comes: it is refused as never runnable and not run.
-    // Once one has announced itself the same id is submitted again and runs.
+    // There is no backend server when the job arrives: it is refused as never runnable and answered
+    // as not run. After a backend server has registered, the same id is submitted again and runs.
     auto world = readySite(24, 3, 0);
     const Whole::JobRequest job = Whole::newJob(*world, 2, 100, 60'000);
     const std::size_t refused = Whole::submit(*world, 0, job);
@@ -413,8 +417,8 @@
 
 TEST_CASE("Every gateway is replaced, one by one")
 {
-    // Each gateway in turn is stopped after a new one has come up. Jobs submitted all the while are
-    // answered whole, and ids of the first gateways' time are still known at the end.
+    // Each gateway in turn is stopped after a new one has started. Jobs submitted meanwhile are
+    // completed, and the id of a job submitted to the first gateways is still known at the end.
     auto world = readySite(20);
     const Whole::JobRequest early = Whole::newJob(*world, 2, 100, 200'000);
     Whole::submit(*world, 0, early);
@@ -443,8 +447,8 @@
 
 TEST_CASE("A cancelled job stays cancelled")
 {
-    // A caller cancels a job of long tasks; what has started runs on, what has not never starts,
-    // and a resubmission that crosses the cancellation does not revive it.
+    // A caller cancels a job of long tasks. Started tasks run on, the others never start, and a
+    // resubmission shortly after the cancellation does not restart the job.
     auto world = readySite(21);
     const Whole::JobRequest job = Whole::newJob(*world, 40, 2'000, 60'000);
     const std::size_t submitted = Whole::submit(*world, 0, job);
@@ -464,8 +468,8 @@
 
 TEST_CASE("A backend server that fails everything ends jobs truthfully")
 {
-    // One of four backend servers fails every task at once. Jobs that meet it end as failed, with
-    // nothing started twice; the others complete.
+    // One of four backend servers fails every task at once. Jobs placed there end as failed without
+    // a second start; the others complete.
     auto world = readySite(22);
     world->backends[0].failsAll = true;
     for (int count = 0; count < 40; ++count) {
--- a/Source/UnitTests/Whole/World.cpp
+++ b/Source/UnitTests/Whole/World.cpp
@@ -30,7 +30,8 @@
     return 1 + static_cast<std::int64_t>(world.random() % 4);
 }
 
-/// Runs \a action in the process, now or once it wakes; never when it has died.
+/// Runs \a action in the process now, or on resume if it is paused. Drops it if the process is not
+/// alive.
 void deliver(Process &process, Action action)
 {
     if (!process.isAlive) {
@@ -150,7 +151,8 @@
             std::max(link.gatewayToAgentFreeMs, world.nowMs + networkDelay(world));
     after(world, link.gatewayToAgentFreeMs - world.nowMs, [&world, linkIndex, frame] {
         const Link &now = world.links[static_cast<std::size_t>(linkIndex)];
-        // Bytes that were under way when the other end died still arrive.
+        // Whether the link is closed is decided below: closeLink() removes it from the agent at
+        // once.
         if (now.isSilent) {
             return;
         }
@@ -340,7 +342,7 @@
     });
 }
 
-/// The backend server gets the request after a delay that stands for a pause of the agent between
+/// The backend server receives the request after a delay that models a pause of the agent between
 /// its check and the start.
 void runTask(World &world, int agent, const Schema::RunTask &task)
 {
--- a/Source/UnitTests/Whole/World.h
+++ b/Source/UnitTests/Whole/World.h
@@ -15,13 +15,13 @@
 #include "Dispatch/Dispatch.h"
 #include "Oracle.h"
 
-/// Gateways and agents as the daemons run them, in virtual time, around fakes of the log service,
-/// the backend servers, the connections and the callers. One seed gives one run.
+/// A site in virtual time: the gateways' and agents' code as the daemons run it, with fakes of the
+/// log service, the backend servers, the connections and the callers. A seed determines a run.
 namespace Whole {
 
 using Action = std::function<void()>;
 
-/// A process that can be killed, or stopped and woken with its events still waiting.
+/// A process that can be killed, or paused and resumed. Events during a pause wait in the inbox.
 struct Process
 {
     bool isAlive = true;
@@ -35,7 +35,7 @@
     Agent::LinkNumber agentNumber = 0;
     int gateway = -1;
     bool isOpen = true;
-    /// Both ends think it open, and nothing gets through.
+    /// Open at both ends, but all frames are lost.
     bool isSilent = false;
     std::int64_t agentToGatewayFreeMs = 0;
     std::int64_t gatewayToAgentFreeMs = 0;
@@ -48,7 +48,8 @@
     Common::Random random;
     std::map<std::string, int> linkOfAgent;
     std::map<Dispatch::LogStream, std::int64_t> readOffsets;
-    /// When each other gateway was last heard, for the daemon's judgement of a silent link.
+    /// When a frame of each other gateway last arrived. As in the daemon, a gateway that is silent
+    /// for too long counts as disconnected.
     std::map<std::string, std::int64_t> peerLastReceivedMs;
     bool isStopping = false;
 };
@@ -60,7 +61,7 @@
     int backend = 0;
 };
 
-/// Outlives its agents: what it runs goes on when the agent dies.
+/// Independent of its agents: a task goes on running when the agent is killed.
 struct Backend
 {
     bool failsAll = false;
@@ -70,7 +71,7 @@
 {
     std::map<Dispatch::LogStream, std::vector<Schema::LogEntry>> streams;
     bool isUnavailable = false;
-    /// Answers that are lost after the write.
+    /// Number of the next appends that are written but whose answer is lost.
     int answersToLose = 0;
 };
 
@@ -96,7 +97,7 @@
     std::vector<std::unique_ptr<AgentProcess>> agents;
     std::vector<Backend> backends;
     std::vector<Link> links;
-    /// Pairs of gateways that cannot reach each other, lesser index first.
+    /// Pairs of gateways that cannot reach each other, lower index first.
     std::set<std::pair<int, int>> partitions;
     std::set<int> cutFromLog;
     Oracle oracle;
@@ -104,7 +105,7 @@
     int jobsMade = 0;
 };
 
-/// The world is made on the heap and stays there: scheduled actions refer to it.
+/// The world is on the heap and must not be moved: scheduled actions hold references to it.
 std::unique_ptr<World> makeWorld(std::uint64_t seed, int gateways, int agents);
 
 void runFor(World &world, std::int64_t ms);
@@ -122,7 +123,7 @@
 std::vector<int> liveGateways(const World &world);
 std::vector<int> liveAgents(const World &world);
 
-/// Gateway that serves the job's shard; -1 for none.
+/// Index of the first live gateway that serves the job's shard; -1 for none.
 int ownerOfJob(const World &world, const std::string &job);
 
 struct JobRequest
@@ -134,7 +135,7 @@
     std::int64_t runMs = 100;
 };
 JobRequest newJob(World &world, int tasks, std::int64_t runMs, std::int64_t deadlineInMs = 20'000);
-/// Returns the number of the submission in the oracle.
+/// Returns the index of the submission in the oracle.
 std::size_t submit(World &world, int gateway, const JobRequest &job);
 void cancel(World &world, int gateway, const std::string &job);
 void setTeamQuota(World &world, int gateway, std::int64_t quota, std::int64_t basedOn);
