--- a/Source/UnitTests/Agent/AgentBench.cpp
+++ b/Source/UnitTests/Agent/AgentBench.cpp
@@ -6,7 +6,7 @@
 #include "AgentFixture.h"
 #include "Net/Net.h"
 
-/// Prints what a task, a heartbeat and a remembered outcome cost the agent: agent-bench [tasks].
+/// Prints the agent's costs per task, per heartbeat and per stored outcome: agent-bench [tasks].
 namespace {
 
 constexpr int GatewayCount = 3;
@@ -44,7 +44,8 @@
     int frames = 0;
 };
 
-/// The agent's side of the wire, so that sizes and codec time are those of real frames.
+/// Encodes and decodes frames as the agent does, so that sizes and codec times are those of real
+/// frames.
 class Wire
 {
 public:
@@ -109,7 +110,7 @@
     return frame;
 }
 
-/// Sends the frames among \a effects over the wire; RunTask effects become their HTTP body.
+/// Encodes the frames among \a effects, and the HTTP bodies of the RunTask effects.
 void carryOut(const Agent::Effects &effects, Wire &wire, Costs &costs)
 {
     for (const Agent::Effect &effect : effects) {
--- a/Source/UnitTests/Agent/AgentFixture.h
+++ b/Source/UnitTests/Agent/AgentFixture.h
@@ -7,21 +7,21 @@
 
 #include "Agent/Agent.h"
 
-/// An agent in virtual time with a few gateways that the test speaks for.
+/// An agent in virtual time with a few gateways whose frames the test sends.
 class AgentFixture
 {
 public:
     explicit AgentFixture(int gatewayCount = 3);
 
-    /// Lets \a ms pass in steps of a tick. Gateways of \a answering answer hellos.
+    /// Advances the time by \a ms in steps of one tick. The gateways in answering answer hellos.
     void advanceTime(std::int64_t ms);
-    /// Opens all links and lets the gateways answer once.
+    /// Opens all links and runs two ticks, in which the gateways answer the first hellos.
     void join();
 
     Agent::LinkNumber linkOf(const std::string &gateway) const;
     void receive(const std::string &gateway, const Schema::Frame &frame);
     void receiveOn(Agent::LinkNumber link, const Schema::Frame &frame);
-    /// A start message as a gateway sends it.
+    /// The content of a start message as a gateway sends it.
     Schema::StartTask makeTask(const std::string &job, std::int64_t epoch = 1,
                                std::int64_t attempt = 1) const;
     void start(const std::string &gateway, const Schema::StartTask &task);
@@ -29,12 +29,13 @@
     void acknowledge(const std::string &gateway, const std::string &job);
     void finish(const std::string &job, int status = 200,
                 Net::HttpTransport transport = Net::HttpTransport::Answered);
-    /// All gateways pass on that \a owner has the test's shard under \a epoch.
+    /// All gateways announce \a owner as the owner of the test's shard under \a epoch.
     void moveShard(const std::string &owner, std::int64_t epoch);
     void carryOut(const Agent::Effects &effects);
     void flush();
 
-    /// The last state of the job's task that \a gateway was sent; phase name and reason name.
+    /// The last state of the job's task that was sent to \a gateway, as phase/reason; "nothing" if
+    /// there is none.
     std::string reportedState(const std::string &gateway, const std::string &job) const;
     std::int64_t windowOf(const std::string &gateway) const;
     int startsOf(const std::string &job) const;
--- a/Source/UnitTests/Agent/DaemonTest.cpp
+++ b/Source/UnitTests/Agent/DaemonTest.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t Shard = 3;
 
-/// A gateway that answers hellos, acknowledges final states and remembers what it was told.
+/// A gateway that answers hellos, acknowledges final states and stores the reported states.
 class FakeGateway
 {
 public:
@@ -39,7 +39,7 @@
         this->hub.send(this->agentLink, frame);
     }
 
-    /// Waits until \a condition, looked at after each frame. False after a generous time.
+    /// Waits until \a condition, checked after each frame, is true. Returns false after 30 s.
     bool waitFor(const std::function<bool()> &condition)
     {
         constexpr std::chrono::seconds MaxWait(30);
@@ -105,7 +105,7 @@
     }
 };
 
-/// Holds each task until it is told to answer.
+/// A backend server that holds each task until answerAll() is called.
 class FakeBackend
 {
 public:
@@ -160,7 +160,7 @@
     std::vector<Net::HttpReply> heldReplies;
 };
 
-/// An agent's daemon on a thread of its own, beside the backend server \a backendPort.
+/// An agent daemon on a thread of its own, for the backend server at \a backendPort.
 class RunningAgent
 {
 public:
@@ -204,8 +204,9 @@
 
 } // namespace
 
-// The whole path over real sockets: hello, start, result, acknowledgement; then SIGTERM's path with
-// a task still running. The caller of that task gets its result; the agent leaves only afterwards.
+// Covers the complete path over real sockets: hello, start, result, acknowledgement; then a stop,
+// as on SIGTERM, with a task still running. The agent reports the result of that task before it
+// ends.
 TEST_CASE("The daemon runs tasks, reports them and stops without cutting one")
 {
     FakeGateway gateway;
@@ -237,9 +238,10 @@
     CHECK(gateway.states["last"].phase == Schema::TaskPhase::Succeeded);
 }
 
-// The backend server's process has died: nothing listens any more. Tasks that arrive before the
-// agent has noticed, and after, are both proved not started, so that they can run elsewhere.
-TEST_CASE("A dead backend server is told to the gateway and starts nothing")
+// The backend server's process has ended and nothing listens any more. A task that arrives at about
+// that time is reported as not started, so that it can run elsewhere, and the agent reports itself
+// as unhealthy.
+TEST_CASE("An unreachable backend server is reported to the gateway and starts nothing")
 {
     FakeGateway gateway;
     auto backend = std::make_unique<FakeBackend>();
@@ -254,8 +256,8 @@
     CHECK(agent.stop());
 }
 
-// A peer sends a payload that is not UTF-8. JSON towards the backend server cannot carry it; an
-// exception would end the agent, and with it the outcomes that it keeps for every owner.
+// A peer sends a payload that is not UTF-8, which the JSON request to the backend server cannot
+// contain. An exception would end the agent and lose the outcomes that it keeps for all owners.
 TEST_CASE("A payload that is not UTF-8 does not stop the daemon")
 {
     FakeGateway gateway;
--- a/Source/UnitTests/Agent/FenceTest.cpp
+++ b/Source/UnitTests/Agent/FenceTest.cpp
@@ -70,9 +70,9 @@
     }
 }
 
-// A patrol's job was taken over by g2 while g1 was paused. g1 wakes and sends its start message.
-// The agent has been told the new epoch, so that g1 learns "not started"; without the fence the
-// crew would be sent by both.
+// g2 took over the shard of a job while g1 was paused. g1 resumes and sends its start message. The
+// agent knows the new epoch and answers "not started"; without the fence the task would run for
+// both owners.
 TEST_CASE("A start of an owner that was replaced is refused")
 {
     for (const bool fenced : {true, false}) {
@@ -92,9 +92,10 @@
     }
 }
 
-// The agent is cut off from g2 and g3, which let g2 take the shard and serve. g1, cut off with the
-// agent, knows nothing of it and goes on sending. The lease is what stops the agent from starting
-// g1's tasks; when the agent hears from the others again it learns the epoch with the same answer.
+// The agent is cut off from g2 and g3, so that g2 can take over the shard and serve it. g1, cut off
+// together with the agent, does not know of this and goes on sending starts. Only the expired lease
+// prevents the agent from starting g1's tasks. When the agent receives answers of the others again,
+// they renew the lease and contain the new epoch as well.
 TEST_CASE("A lapsed lease stops starts until a majority is heard again")
 {
     for (const bool leased : {true, false}) {
@@ -115,8 +116,8 @@
     }
 }
 
-// An answer renews the lease but lacks the table version it names. Counting it would let an owner
-// that is already fenced elsewhere start tasks here for another lease.
+// A hello answer names a table version that the agent has not received. If it renewed the lease, an
+// owner that is already fenced at other agents could start tasks here for another lease.
 TEST_CASE("An answer without its epochs does not renew the lease")
 {
     AgentFixture site(1);
@@ -132,9 +133,10 @@
     CHECK(Agent::leaseEndMs(site.state.fence) > before);
 }
 
-// The agent's process is stopped between its check and the start, and goes on after the lease has
-// lapsed and a successor serves. The start then carries a time that has passed, and the backend
-// server, on the same machine's clock, refuses it: the task is proved not started.
+// The agent's process is paused between its check and the start, and resumes after the lease has
+// expired and a successor serves. The start then carries a time that has passed, and the backend
+// server, which uses the clock of the same machine, refuses it: this proves that the task has not
+// started.
 TEST_CASE("A start carries the end of the lease for the backend server to check")
 {
     AgentFixture site;
@@ -156,8 +158,8 @@
     CHECK(other.runs.at(0).notAfterMs == soon.notAfterMs);
 }
 
-// The agent is paused with tasks in its queue. When it wakes, a slot becomes free before anything
-// else is read. The lease has lapsed meanwhile: the queued task must not be started.
+// The agent is paused with tasks in its queue. When it resumes, a slot becomes free before any
+// frame is read. The lease has expired meanwhile, so that the queued task must not start.
 TEST_CASE("A pause while a task is queued ends in a refusal")
 {
     AgentFixture site;
--- a/Source/UnitTests/Agent/LinksTest.cpp
+++ b/Source/UnitTests/Agent/LinksTest.cpp
@@ -2,9 +2,9 @@
 
 #include "AgentFixture.h"
 
-// Something between agent and gateway has lost track of the connection: nothing arrives on it any
-// more, yet new connections work. The agent closes the silent link, dials anew, and reports again
-// what the old link may have swallowed.
+// A device between agent and gateway has dropped its state of the connection: nothing arrives on it
+// any more, but new connections work. The agent closes the silent link, opens a new one and sends
+// the reports again that the old link may have lost.
 TEST_CASE("A silent link is replaced and what it may have lost is sent again")
 {
     AgentFixture site;
@@ -22,8 +22,8 @@
     CHECK(site.reportedState("g1", "task") == "succeeded/none");
 }
 
-// A start message is stuck on the old link and comes out after the link was replaced, when the
-// owner has already asked on the new one and been told that the task is not here.
+// A start message is delayed on the old link and arrives after the link was replaced, when the
+// owner has already asked on the new one and got the answer that the agent does not have the task.
 TEST_CASE("Frames of a replaced link are dropped")
 {
     AgentFixture site;
@@ -59,8 +59,8 @@
     CHECK(delays.size() > 10);
 }
 
-// The settings name one gateway; the others are learned from its table. One that leaves the roster
-// is not dialled again, one that joins is.
+// The settings name one gateway; the agent learns the others from its table. A gateway that leaves
+// the roster is not dialled again; one that joins is dialled.
 TEST_CASE("Gateways are learned from the table")
 {
     AgentFixture site;
@@ -101,8 +101,8 @@
     CHECK(site.closedLinks.size() == 1);
 }
 
-// The whole process was stopped for ten seconds. All links look silent, but their frames only wait
-// to be read: closing them would cost every gateway a new connection for nothing.
+// The agent's process was paused for ten seconds. All links look silent, but their frames only wait
+// to be read. Closing the links would make every gateway reconnect without need.
 TEST_CASE("A pause of the agent itself is not taken for silence of its links")
 {
     AgentFixture site;
--- a/Source/UnitTests/Agent/OutcomesTest.cpp
+++ b/Source/UnitTests/Agent/OutcomesTest.cpp
@@ -3,9 +3,9 @@
 
 #include "AgentFixture.h"
 
-// The owner refused to believe in its connection and sends the start message again, while the task
-// runs, after it has ended, and after the owner has acknowledged the outcome. Each repeat is
-// answered with the task's state. Without the memory of accepted tasks the crew is sent twice.
+// The owner does not trust its connection and sends the start message again: while the task runs,
+// after it has ended, and after the owner has acknowledged the outcome. Each repetition is answered
+// with the state of the task. Without the records of accepted tasks the task runs twice.
 TEST_CASE("A repeated start is answered and never run again")
 {
     for (const bool remembered : {true, false}) {
@@ -31,9 +31,10 @@
     }
 }
 
-// The agent refuses a start, and the owner, told "not started", sends the task elsewhere. A copy of
-// the refused message, delayed on the way, arrives when a slot is free. Starting it now would run
-// the task twice. A new attempt of the owner, or of a later owner, is a different matter.
+// The agent refuses a start and reports it as not started, so that the owner sends the task
+// elsewhere. A delayed copy of the refused message arrives when a slot is free. Starting it now
+// would run the task twice. A newer attempt of the owner, or any attempt of a later owner, is
+// accepted.
 TEST_CASE("A start that was refused stays refused")
 {
     struct Row
@@ -63,7 +64,7 @@
     }
 }
 
-TEST_CASE("A refusal is remembered until its start message has run out by itself")
+TEST_CASE("A refusal is kept until its start message has expired")
 {
     AgentFixture site;
     site.join();
@@ -133,9 +134,9 @@
     CHECK(site.states["g1"].size() == 4);
 }
 
-// An owner acknowledges a refusal late, when a newer attempt of the same task has already ended
-// here. Taking it for the newer outcome would leave the owner without it for good.
-TEST_CASE("An acknowledgement of an older attempt leaves the newer state owed")
+// An owner acknowledges a refusal late, when a newer attempt of the same task has already ended at
+// the agent. If it counted for the newer outcome, the owner would never receive that one.
+TEST_CASE("An acknowledgement of an older attempt does not acknowledge the newer state")
 {
     AgentFixture site;
     site.join();
@@ -151,9 +152,10 @@
     CHECK(Agent::acknowledge(site.state.outcomes, {"task", 0}, 2));
 }
 
-// g1 dies with a task running here and an outcome not yet acknowledged; g2 takes the shard over and
-// asks. It must learn of both, and of the outcome g1 had acknowledged, or it would take them for
-// never started. The end of the running task then goes to g2.
+// g1 is lost while the agent runs one of its tasks and holds an outcome that is not acknowledged.
+// g2 takes the shard over and asks for its tasks. The answer must contain both, and the outcome
+// that g1 had acknowledged; otherwise g2 would treat them as never started. The end of the running
+// task is then reported to g2.
 TEST_CASE("A new owner learns everything, and later reports move to it")
 {
     AgentFixture site;
@@ -181,8 +183,8 @@
     CHECK(site.reportedState("g1", "running") == "nothing");
 }
 
-// A planned handover: g1 gives the shard to g2 with its next epoch while tasks of it wait in the
-// agent's queue. They must not start under the old epoch any more, and g2 has to be told.
+// A planned handover: g1 hands the shard to g2 under its next epoch while tasks of the shard wait
+// in the agent's queue. They must not start under the old epoch any more and are reported to g2.
 TEST_CASE("Queued tasks of an older epoch are given back to the new owner")
 {
     AgentFixture site;
@@ -197,9 +199,9 @@
     CHECK(site.reportedState("g2", "job-0") == "succeeded/none");
 }
 
-// An owner takes what the last frame of an answer does not list, and no earlier frame has ended,
-// for not started, and sends it elsewhere. A running task listed in an earlier frame only would run
-// twice.
+// An owner treats a task as not started, and starts it elsewhere, if the last frame of the answer
+// does not list it and no earlier frame reported its end. A running task that only an earlier frame
+// lists would therefore run twice.
 TEST_CASE("A long answer to a new owner comes in parts, the last naming the request")
 {
     AgentFixture site;
--- a/Source/UnitTests/Agent/SlotsTest.cpp
+++ b/Source/UnitTests/Agent/SlotsTest.cpp
@@ -30,9 +30,9 @@
     }
 }
 
-// Counter staff at g2 wait while g1 holds every slot; then g1's burst ends. If g2 had to wait for
-// the next heartbeat to learn that slots are free, they would stand idle for up to half a second.
-TEST_CASE("A gateway with waiting tasks hears at once that its window has grown")
+// Tasks wait at g1 and g2, which share the slots; then g1's burst ends. If g2 learned of its larger
+// window only with the next heartbeat, slots would stay idle for up to half a second.
+TEST_CASE("A gateway with waiting tasks is informed at once that its window has grown")
 {
     AgentFixture site;
     site.demand = {{"g1", 50}, {"g2", 50}};
@@ -46,7 +46,7 @@
     CHECK(site.reports["g2"].size() == before + 1);
 }
 
-TEST_CASE("A window is told with every report")
+TEST_CASE("Every report contains the window")
 {
     AgentFixture site;
     site.join();
@@ -57,8 +57,9 @@
     CHECK(site.reports["g1"].back().window == 1);
 }
 
-// Crossing start messages overfill the agent for a moment: four wait, the next is refused at once
-// instead of waiting behind others while another backend server is idle.
+// Start messages that cross a window update can exceed the slots for a moment: four starts wait in
+// the queue, and the next is refused at once instead of waiting while another backend server is
+// idle.
 TEST_CASE("A short queue takes up crossing starts, in order")
 {
     AgentFixture site;
@@ -79,8 +80,8 @@
     CHECK(Agent::makeAgentState(settings, "a", Common::Random(1)).slots.slots == 3);
 }
 
-// A cancel wave arrives: queued tasks never start and say so, a running one runs on and reports its
-// true end, an unknown one is left alone.
+// Several tasks are cancelled: a queued task is reported as not started, a running one runs on and
+// its real end is reported, an unknown one is ignored.
 TEST_CASE("Cancelling stops only what has not started")
 {
     AgentFixture site;
@@ -103,9 +104,9 @@
     CHECK(site.reportedState("g1", "stranger") == "nothing");
 }
 
-// The agent gets SIGTERM with tasks running and queued. Nothing in progress is cut, queued tasks go
-// back at once so that another backend server takes them, and it leaves only when every outcome has
-// been acknowledged, or after its stop timeout.
+// The agent gets a stop request (SIGTERM) with tasks running and queued. Running tasks are not
+// aborted, and queued tasks are returned at once so that another backend server can run them. The
+// agent ends only when every outcome has been acknowledged, or after its stop timeout.
 TEST_CASE("A graceful stop cuts nothing and waits for acknowledgements")
 {
     AgentFixture site;
@@ -136,8 +137,8 @@
     CHECK(Agent::stopFinished(alone.state, alone.now));
 }
 
-// An operator drains the backend server and later ends the drain; an older configuration that
-// arrives late from a gateway cut off meanwhile must not bring either back.
+// An operator drains the backend server and later ends the drain. An older configuration that
+// arrives late, from a gateway that was cut off, must not revert either change.
 TEST_CASE("A configured drain is obeyed, ends with its removal, and never reverts")
 {
     AgentFixture site;
@@ -165,7 +166,7 @@
     CHECK(site.state.configVersion == 6);
 }
 
-TEST_CASE("Most tasks cost one report: that one runs is told only when it runs for a while")
+TEST_CASE("A short task costs one report: running is reported only for longer tasks")
 {
     AgentFixture site;
     site.join();
--- a/Source/UnitTests/Gateway/LinksTest.cpp
+++ b/Source/UnitTests/Gateway/LinksTest.cpp
@@ -4,9 +4,10 @@
 
 TEST_CASE("A request that overtakes the first heartbeat on a new link is not lost")
 {
-    // A caller's job stood still for over four seconds just after a gateway had joined. The gateway
-    // forwarded it on a link that it had only just dialled; the owner did not yet know whose link
-    // that was and dropped the frame, and nothing was tried again until another link went silent.
+    // Guards against a delay of over four seconds for a job just after a gateway has joined. The
+    // gateway forwarded the job on a link that it had just dialled. The owner did not know yet
+    // whose link that was and dropped the frame, and no retry took place until another link was
+    // silent.
     Gateway::LinkTable table;
     table.self = "gateway-2";
     const Net::LinkId id = 7;
@@ -27,7 +28,7 @@
     CHECK(Gateway::releaseEarlyFrames(table.links.at(id), ping).size() == 1);
 }
 
-TEST_CASE("A sender that never names itself fills no memory")
+TEST_CASE("Frames of a sender that never identifies itself use limited memory")
 {
     Gateway::Link link;
     constexpr int FrameCount = 100000;
