--- a/Source/UnitTests/Whole/Oracle.cpp
+++ b/Source/UnitTests/Whole/Oracle.cpp
@@ -49,7 +49,7 @@
     return job + '/' + std::to_string(index);
 }
 
-void taskStarted(Oracle &oracle, const std::string &job, std::int64_t index, std::int64_t nowMs)
+void recordStart(Oracle &oracle, const std::string &job, std::int64_t index, std::int64_t nowMs)
 {
     const int count = ++oracle.starts[{job, index}];
     oracle.lastStartMs[job] = nowMs;
@@ -59,8 +59,8 @@
     }
 }
 
-std::size_t submissionMade(Oracle &oracle, const std::string &job, std::size_t tasks,
-                           std::int64_t nowMs)
+std::size_t recordSubmission(Oracle &oracle, const std::string &job, std::size_t tasks,
+                             std::int64_t nowMs)
 {
     Submission submission;
     submission.job = job;
@@ -70,8 +70,8 @@
     return oracle.submissions.size() - 1;
 }
 
-void submissionAnswered(Oracle &oracle, std::size_t submission, const Schema::JobAnswer &answer,
-                        std::int64_t nowMs)
+void recordAnswer(Oracle &oracle, std::size_t submission, const Schema::JobAnswer &answer,
+                  std::int64_t nowMs)
 {
     Submission &record = oracle.submissions[submission];
     if (record.isAnswered) {
--- a/Source/UnitTests/Whole/Oracle.h
+++ b/Source/UnitTests/Whole/Oracle.h
@@ -34,11 +34,11 @@
     std::map<std::string, std::int64_t> configVersions;
 };
 
-void taskStarted(Oracle &oracle, const std::string &job, std::int64_t index, std::int64_t nowMs);
-std::size_t submissionMade(Oracle &oracle, const std::string &job, std::size_t tasks,
-                           std::int64_t nowMs);
-void submissionAnswered(Oracle &oracle, std::size_t submission, const Schema::JobAnswer &answer,
-                        std::int64_t nowMs);
+void recordStart(Oracle &oracle, const std::string &job, std::int64_t index, std::int64_t nowMs);
+std::size_t recordSubmission(Oracle &oracle, const std::string &job, std::size_t tasks,
+                             std::int64_t nowMs);
+void recordAnswer(Oracle &oracle, std::size_t submission, const Schema::JobAnswer &answer,
+                  std::int64_t nowMs);
 /// Records the configuration version that a process uses now. A decrease is a violation.
 void recordConfigVersion(Oracle &oracle, const std::string &process, std::int64_t version);
 /// Checks what can only be decided after the last event of a run.
--- a/Source/UnitTests/Whole/World.cpp
+++ b/Source/UnitTests/Whole/World.cpp
@@ -358,7 +358,7 @@
             answerRun(world, agent, task, PreconditionFailed, "{}");
             return;
         }
-        taskStarted(world.oracle, task.job, task.index, world.nowMs);
+        recordStart(world.oracle, task.job, task.index, world.nowMs);
         const int backend = world.agents[static_cast<std::size_t>(agent)]->backend;
         const bool fails = world.backends[static_cast<std::size_t>(backend)].failsAll;
         const nlohmann::json body = {{"result", resultOf(task.job, task.index)}};
@@ -395,8 +395,8 @@
         if (answer.requestId.empty()) {
             return;
         }
-        submissionAnswered(this->world.oracle, std::stoul(answer.requestId), answer.answer,
-                           this->world.nowMs);
+        recordAnswer(this->world.oracle, std::stoul(answer.requestId), answer.answer,
+                     this->world.nowMs);
     }
     template <typename Other>
     void operator()(const Other & /*other*/) const
@@ -485,7 +485,7 @@
     publish(world, team);
 }
 
-void wake(World &world, Process &process)
+void resume(World &world, Process &process)
 {
     process.isPaused = false;
     while (!process.inbox.empty() && process.isAlive) {
@@ -619,14 +619,14 @@
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     process.isPaused = true;
-    after(world, ms, [&world, &process] { wake(world, process); });
+    after(world, ms, [&world, &process] { resume(world, process); });
 }
 
 void pauseAgent(World &world, int agent, std::int64_t ms)
 {
     AgentProcess &process = *world.agents[static_cast<std::size_t>(agent)];
     process.isPaused = true;
-    after(world, ms, [&world, &process] { wake(world, process); });
+    after(world, ms, [&world, &process] { resume(world, process); });
 }
 
 void stopGateway(World &world, int gateway)
@@ -693,7 +693,7 @@
 JobRequest newJob(World &world, int tasks, std::int64_t runMs, std::int64_t deadlineInMs)
 {
     JobRequest job;
-    job.id = "job-" + std::to_string(++world.jobsMade);
+    job.id = "job-" + std::to_string(++world.jobCount);
     job.firstSubmittedMs = wallMs(world);
     job.deadlineMs = wallMs(world) + deadlineInMs;
     job.tasks = tasks;
@@ -716,8 +716,8 @@
     Schema::SubmitTask task;
     task.payload = std::to_string(job.runMs);
     content.tasks.assign(static_cast<std::size_t>(job.tasks), task);
-    const std::size_t submission =
-            submissionMade(world.oracle, job.id, static_cast<std::size_t>(job.tasks), world.nowMs);
+    const std::size_t submission = recordSubmission(
+            world.oracle, job.id, static_cast<std::size_t>(job.tasks), world.nowMs);
     callerRequest.token = std::to_string(submission);
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     deliver(process, [&world, &process, gateway, callerRequest] {
--- a/Source/UnitTests/Whole/World.h
+++ b/Source/UnitTests/Whole/World.h
@@ -102,7 +102,7 @@
     std::set<int> cutFromLog;
     Oracle oracle;
     std::int64_t maxRunDelayMs = 0;
-    int jobsMade = 0;
+    int jobCount = 0;
 };
 
 /// The world is on the heap and must not be moved: scheduled actions hold references to it.
