--- a/Source/UnitTests/Dispatch/Ownership/SiteWorld.h
+++ b/Source/UnitTests/Dispatch/Ownership/SiteWorld.h
@@ -27,7 +27,9 @@
     std::int64_t maxLateMs = 400;
 };
 
-/// What the owner knows of one job.
+/// State of a job at its owner, which starts Waiting jobs only. Known: an earlier owner may have
+/// started it according to the journal or a handover. Unknown: an earlier owner may have started it
+/// without a durable intent.
 enum class JobState { Waiting, Sent, Known, Unknown };
 
 struct Gateway
