--- a/Source/UnitTests/Agent/OutcomesTest.cpp
+++ b/Source/UnitTests/Agent/OutcomesTest.cpp
@@ -3,9 +3,9 @@
 
 #include "AgentFixture.h"
 
-// The owner refused to believe in its connection and sends the start message again, while the task
-// runs, after it has ended, and after the owner has acknowledged the outcome. Each repeat is
-// answered with the task's state. Without the memory of accepted tasks the crew is sent twice.
+// The owner does not trust its connection and sends the start message again: while the task runs,
+// after it has ended, and after the owner has acknowledged the outcome. Each repetition is answered
+// with the state of the task. Without the records of accepted tasks the task runs twice.
 TEST_CASE("A repeated start is answered and never run again")
 {
     for (const bool remembered : {true, false}) {
@@ -27,13 +27,14 @@
         site.start("g1", site.makeTask("crew", 1, 2));
         CHECK(site.startsOf("crew") == 1);
         CHECK(site.repeats == 3);
-        CHECK(site.told("g1", "crew") == "succeeded/none");
+        CHECK(site.reportedState("g1", "crew") == "succeeded/none");
     }
 }
 
-// The agent refuses a start, and the owner, told "not started", sends the task elsewhere. A copy of
-// the refused message, delayed on the way, arrives when a slot is free. Starting it now would run
-// the task twice. A new attempt of the owner, or of a later owner, is a different matter.
+// The agent refuses a start and reports it as not started, so that the owner sends the task
+// elsewhere. A delayed copy of the refused message arrives when a slot is free. Starting it now
+// would run the task twice. A newer attempt of the owner, or any attempt of a later owner, is
+// accepted.
 TEST_CASE("A start that was refused stays refused")
 {
     struct Row
@@ -54,7 +55,7 @@
         site.join();
         site.startMany("g1", 12);
         site.start("g1", site.makeTask("late", 1, 2));
-        CHECK(site.told("g1", "late") == "not_started/no_slot");
+        CHECK(site.reportedState("g1", "late") == "not_started/no_slot");
         for (int i = 0; i < 12; ++i) {
             site.finish("job-" + std::to_string(i));
         }
@@ -63,7 +64,7 @@
     }
 }
 
-TEST_CASE("A refusal is remembered until its start message has run out by itself")
+TEST_CASE("A refusal is kept until its start message has expired")
 {
     AgentFixture site;
     site.join();
@@ -71,7 +72,7 @@
     const Schema::StartTask late = site.makeTask("late");
     site.start("g1", late);
     CHECK(Agent::findRecord(site.state.outcomes, {"late", 0}) != nullptr);
-    site.pass(40'000);
+    site.advanceTime(40'000);
     CHECK(Agent::findRecord(site.state.outcomes, {"late", 0}) == nullptr);
     for (int i = 0; i < 12; ++i) {
         if (site.startsOf("job-" + std::to_string(i)) == 1) {
@@ -80,7 +81,7 @@
     }
     site.start("g1", late);
     CHECK(site.startsOf("late") == 0);
-    CHECK(site.told("g1", "late") == "not_started/not_after_passed");
+    CHECK(site.reportedState("g1", "late") == "not_started/not_after_passed");
 }
 
 TEST_CASE("What the backend server's answer proves")
@@ -89,7 +90,7 @@
     {
         Net::HttpTransport transport;
         int status;
-        const char *told;
+        const char *reportedState;
     };
     const Row rows[] = {
             {Net::HttpTransport::Answered, 200, "succeeded/none"},
@@ -102,12 +103,12 @@
             {Net::HttpTransport::TimedOut, 0, "unknown/task_lost"},
     };
     for (const Row &row : rows) {
-        CAPTURE(row.told);
+        CAPTURE(row.reportedState);
         AgentFixture site;
         site.join();
         site.start("g1", site.makeTask("task"));
         site.finish("task", row.status, row.transport);
-        CHECK(site.told("g1", "task") == row.told);
+        CHECK(site.reportedState("g1", "task") == row.reportedState);
     }
     Net::HttpResult unreadable;
     unreadable.transport = Net::HttpTransport::Answered;
@@ -123,19 +124,19 @@
     site.start("g1", site.makeTask("task"));
     site.finish("task");
     CHECK(site.states["g1"].size() == 1);
-    site.pass(2100);
+    site.advanceTime(2100);
     CHECK(site.states["g1"].size() == 3);
     site.acknowledge("g2", "task");
-    site.pass(1000);
+    site.advanceTime(1000);
     CHECK(site.states["g1"].size() == 4);
     site.acknowledge("g1", "task");
-    site.pass(5000);
+    site.advanceTime(5000);
     CHECK(site.states["g1"].size() == 4);
 }
 
-// An owner acknowledges a refusal late, when a newer attempt of the same task has already ended
-// here. Taking it for the newer outcome would leave the owner without it for good.
-TEST_CASE("An acknowledgement of an older attempt leaves the newer state owed")
+// An owner acknowledges a refusal late, when a newer attempt of the same task has already ended at
+// the agent. If it counted for the newer outcome, the owner would never receive that one.
+TEST_CASE("An acknowledgement of an older attempt does not acknowledge the newer state")
 {
     AgentFixture site;
     site.join();
@@ -151,9 +152,10 @@
     CHECK(Agent::acknowledge(site.state.outcomes, {"task", 0}, 2));
 }
 
-// g1 dies with a task running here and an outcome not yet acknowledged; g2 takes the shard over and
-// asks. It must learn of both, and of the outcome g1 had acknowledged, or it would take them for
-// never started. The end of the running task then goes to g2.
+// g1 is lost while the agent runs one of its tasks and holds an outcome that is not acknowledged.
+// g2 takes the shard over and asks for its tasks. The answer must contain both, and the outcome
+// that g1 had acknowledged; otherwise g2 would treat them as never started. The end of the running
+// task is then reported to g2.
 TEST_CASE("A new owner learns everything, and later reports move to it")
 {
     AgentFixture site;
@@ -169,20 +171,20 @@
     frame.type = Schema::FrameType::AskTasks;
     frame.askTasks = Schema::AskTasks{"ask-1", {{2, "g2", AgentFixture::Shard}}};
     site.receive("g2", frame);
-    CHECK(site.told("g2", "running") == "running/none");
-    CHECK(site.told("g2", "ended") == "succeeded/none");
-    CHECK(site.told("g2", "acknowledged") == "succeeded/none");
+    CHECK(site.reportedState("g2", "running") == "running/none");
+    CHECK(site.reportedState("g2", "ended") == "succeeded/none");
+    CHECK(site.reportedState("g2", "acknowledged") == "succeeded/none");
     CHECK(site.reports["g2"].back().answerTo == std::optional<std::string>("ask-1"));
     site.states.clear();
     site.start("g1", site.makeTask("fenced"));
-    CHECK(site.told("g1", "fenced") == "not_started/epoch_fenced");
+    CHECK(site.reportedState("g1", "fenced") == "not_started/epoch_fenced");
     site.finish("running");
-    CHECK(site.told("g2", "running") == "succeeded/none");
-    CHECK(site.told("g1", "running") == "nothing");
+    CHECK(site.reportedState("g2", "running") == "succeeded/none");
+    CHECK(site.reportedState("g1", "running") == "nothing");
 }
 
-// A planned handover: g1 gives the shard to g2 with its next epoch while tasks of it wait in the
-// agent's queue. They must not start under the old epoch any more, and g2 has to be told.
+// A planned handover: g1 hands the shard to g2 under its next epoch while tasks of the shard wait
+// in the agent's queue. They must not start under the old epoch any more and are reported to g2.
 TEST_CASE("Queued tasks of an older epoch are given back to the new owner")
 {
     AgentFixture site;
@@ -190,16 +192,16 @@
     site.startMany("g1", 10);
     CHECK(site.runs.size() == 8);
     site.moveShard("g2", 2);
-    CHECK(site.told("g2", "job-9") == "not_started/epoch_fenced");
-    CHECK(site.told("g2", "job-0") == "running/none");
+    CHECK(site.reportedState("g2", "job-9") == "not_started/epoch_fenced");
+    CHECK(site.reportedState("g2", "job-0") == "running/none");
     site.finish("job-0");
     CHECK(site.runs.size() == 8);
-    CHECK(site.told("g2", "job-0") == "succeeded/none");
+    CHECK(site.reportedState("g2", "job-0") == "succeeded/none");
 }
 
-// An owner takes what the last frame of an answer does not list, and no earlier frame has ended,
-// for not started, and sends it elsewhere. A running task listed in an earlier frame only would run
-// twice.
+// An owner treats a task as not started, and starts it elsewhere, if the last frame of the answer
+// does not list it and no earlier frame reported its end. A running task that only an earlier frame
+// lists would therefore run twice.
 TEST_CASE("A long answer to a new owner comes in parts, the last naming the request")
 {
     AgentFixture site;
@@ -237,7 +239,7 @@
     site.state.outcomes.options.maxRecords = 4;
     site.join();
     site.startMany("g1", 5);
-    CHECK(site.told("g1", "job-4") == "not_started/no_slot");
+    CHECK(site.reportedState("g1", "job-4") == "not_started/no_slot");
 
     AgentFixture heavy;
     heavy.state.outcomes.options.maxResultBytes = 10;
@@ -250,7 +252,7 @@
     CHECK(heavy.state.outcomes.resultBytes <= 10);
     heavy.states.clear();
     heavy.start("g1", heavy.makeTask("job-0"));
-    CHECK(heavy.told("g1", "job-0") == "unknown/task_lost");
+    CHECK(heavy.reportedState("g1", "job-0") == "unknown/task_lost");
     CHECK(heavy.startsOf("job-0") == 1);
 }
 
@@ -261,9 +263,9 @@
     site.join();
     site.start("g1", site.makeTask("task"));
     site.finish("task");
-    site.pass(4000);
+    site.advanceTime(4000);
     CHECK(site.state.outcomes.records.size() == 1);
-    site.pass(3000);
+    site.advanceTime(3000);
     CHECK(site.state.outcomes.records.empty());
     CHECK(site.state.outcomes.pendingReports.empty());
     CHECK(site.state.outcomes.resultBytes == 0);
