--- a/Source/Core/Dispatch/Persistence/Recovery.cpp
+++ b/Source/Core/Dispatch/Persistence/Recovery.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Jobs/TaskReports.h"
 
 namespace Dispatch {
