--- a/Source/Core/Dispatch/Scheduling/Admission.cpp
+++ b/Source/Core/Dispatch/Scheduling/Admission.cpp
@@ -5,13 +5,14 @@
 namespace Dispatch {
 namespace {
 
-/// The wait is a prediction: later short jobs and other callers may pass. A job let in that misses
-/// its deadline has wasted its slots, a job refused in error can come again; so the wait counts a
-/// quarter more.
+/// The wait is a prediction, and short jobs or other callers that arrive later may be served first.
+/// An admitted job that misses its deadline has wasted its slots, whereas a job refused in error
+/// can be submitted again. So the predicted wait is raised by a quarter.
 constexpr double WaitMargin = 1.25;
 constexpr std::int64_t MinRetryAfterMs = 100;
 constexpr std::int64_t MaxRetryAfterMs = 60000;
-/// Refused together, callers come back over a span as long as half the wait they were given.
+/// Resolution of the jitter, which spreads the retries of callers that are refused together over
+/// half the wait they were given.
 constexpr std::uint64_t JitterSteps = 1024;
 
 Refusal refusal(Schema::Reason reason, const char *detail, double retryAfterMs,
@@ -38,8 +39,9 @@
                    : (backlog.teamWorkMs + query.workMs) / static_cast<double>(backlog.teamQuota);
 }
 
-/// The smaller of two bounds. By its fair share, the caller's own work is done whatever the others
-/// send; by what the others leave, everything queued is.
+/// The smaller of two upper bounds: the time to do the caller's own work at its fair share of the
+/// capacity, whatever others send, and the time to do all queued work with the share that the
+/// others leave unused, which is at least the fair share.
 double capacityWaitMs(const Backlog &backlog, const AdmissionQuery &query)
 {
     if (backlog.queuedWorkMs <= 0 && query.tasks <= backlog.freeSlots) {
--- a/Source/Core/Dispatch/Scheduling/Estimates.cpp
+++ b/Source/Core/Dispatch/Scheduling/Estimates.cpp
@@ -6,32 +6,32 @@
 namespace Dispatch {
 namespace {
 
-/// First guess without any declaration: the middle of the 50 ms to 1 s that most tasks take, on a
-/// logarithmic scale.
+/// Initial estimate without a declaration: the middle, on a logarithmic scale, of the 50 ms to 1 s
+/// that most tasks take.
 constexpr double DefaultRunMs = 220;
 constexpr double BucketGrowth = 1.2;
-/// A guess weighs as much as this many outcomes.
+/// Weight of the initial estimate, in outcomes.
 constexpr double PriorWeight = 3;
-/// A guess may be off by ten times either way, as declared times are.
+/// The initial estimate may be ten times too high or too low, as declared times are.
 constexpr double PriorSpread = 10;
 constexpr std::int64_t MinLearnedSamples = 8;
-/// Bucket counts are halved past this weight: a service that changes is known anew after as many
-/// outcomes, and the p95 still rests on a dozen.
+/// Bucket counts are halved at this weight: the estimate follows a changed service after about as
+/// many outcomes, and the 95th percentile still rests on a dozen outcomes.
 constexpr double MaxWeight = 512;
 constexpr double MeanSmoothingSamples = 128;
-/// One in sixteen: noise of 20% in the factor for exponentially distributed run times, and a
-/// backend server ten times slower than believed is steered around after its slots have turned over
-/// once.
+/// Each outcome counts for a sixteenth: the factor has 20% noise for exponentially distributed run
+/// times, and a backend server that is ten times slower than estimated is avoided after each of its
+/// slots has completed about one task.
 constexpr double SpeedSmoothingSamples = 16;
-/// Only the product of base and factor shows in outcomes; the pull towards 1 keeps the two from
-/// drifting apart.
+/// Outcomes only show the product of base time and factor. Shrinking the factor towards 1 keeps the
+/// two from drifting in opposite directions.
 constexpr double FactorShrinkage = 0.999;
 constexpr double MaxLogFactor = 4.6;
-/// A backend server ten times slower is offered a task about once a minute.
+/// An idle backend server that is ten times slower gets a task about once a minute.
 constexpr double SlownessHalfLifeMs = 20000;
 constexpr std::size_t MaxProfiles = 4096;
-/// What another process has learned weighs as much as this many outcomes of our own: enough to be
-/// believed at once, little enough to be corrected within two dozen.
+/// An imported estimate weighs at most as much as this many own outcomes: enough to be used at
+/// once, few enough to be corrected within two dozen outcomes.
 constexpr std::int64_t MaxImportedSamples = 16;
 
 std::size_t bucketOf(double runMs)
--- a/Source/Core/Dispatch/Scheduling/Estimates.h
+++ b/Source/Core/Dispatch/Scheduling/Estimates.h
@@ -6,73 +6,80 @@
 #include <unordered_map>
 #include <vector>
 
-/// How long tasks run, learned from their outcomes.
+/// Run time estimates, learned from the outcomes of tasks.
 ///
 /// Load pattern: declared sizes and run times are far off, and backend servers that were bought
-/// over years differ in speed. Without this, a declaration ten times too high refuses jobs that
-/// would have made their deadline, one ten times too low admits jobs that cannot, and slow backend
-/// servers get as much work as fast ones.
+/// over the years differ in speed. Without learned estimates, a declaration that is ten times too
+/// high would cause the refusal of jobs that can meet their deadline, one that is ten times too low
+/// would admit jobs that cannot, and slow backend servers would get as much work as fast ones.
 ///
-/// Model: run time = base of the task's profile x factor of the backend server. A profile is a
-/// service together with the order of magnitude that was declared: the declaration tells sorts of
-/// task apart and is otherwise only the first guess. The product needs services + backend servers
-/// figures in place of services x backend servers, so that a new backend server is known after some
-/// tens of tasks of any service.
+/// Model: run time = base time of the task's profile x speed factor of the backend server. A
+/// profile is a service together with the order of magnitude of the declared run time. The
+/// declaration separates kinds of tasks and otherwise only serves as the initial estimate. The
+/// product needs one figure for each service and each backend server instead of one for each pair
+/// of them, so that the speed of a new backend server is known after some tens of tasks of any
+/// service.
 namespace Dispatch {
 
 using ProfileId = std::uint32_t;
 
-/// Buckets grow by a fifth: a quantile is known to within 10%, from 1 ms to more than 30 minutes.
+/// Each bucket is a fifth wider than the one before, so that quantiles are accurate to 10%,
+/// from 1 ms to more than 30 minutes.
 constexpr std::size_t RunBucketCount = 80;
 
-/// Run times of one profile on a backend server of factor 1.
+/// Run times of one profile at speed factor 1.
 struct RunProfile
 {
+    /// Initial estimate.
     double priorMs = 0;
     double meanMs = 0;
+    /// Mean of the natural logarithm of the run time in milliseconds.
     double meanLog = 0;
     std::int64_t samples = 0;
+    /// Sum of the buckets.
     double weight = 0;
     std::array<float, RunBucketCount> buckets{};
 };
 
-/// Factor of one backend server: 2 is half as fast as the average.
+/// Speed factor of one backend server. A factor of 2 means half as fast as the average.
 struct BackendSpeed
 {
+    /// Natural logarithm of the factor.
     double logFactor = 0;
     std::int64_t samples = 0;
 };
 
 struct Estimates
 {
-    /// Baseline for tests: the declaration is the truth and nothing is learned.
+    /// Baseline for tests: declared run times are used as they are, learned ones are not.
     bool trustDeclared = false;
     std::vector<RunProfile> profiles;
     std::unordered_map<std::string, ProfileId> byKey;
 };
 
-/// The profile for tasks of \a service with this declaration; \a declaredMs of 0 is none. Profiles
-/// are bounded in number: past the bound, a service's tasks share its profile without declaration.
+/// Returns the profile for tasks of \a service with the declared run time \a declaredMs; 0 means
+/// that none is declared. The number of profiles is limited: beyond the limit, tasks share the
+/// profile that their service has for tasks without a declaration.
 ProfileId findOrAddProfile(Estimates &estimates, const std::string &service,
                            std::int64_t declaredMs);
 
-/// Few outcomes known: what is said of run times is a guess.
+/// Whether the profile has too few outcomes for its estimates to be more than a guess.
 bool isGuess(const Estimates &estimates, ProfileId profile);
 
-/// Mean run time at factor 1, from the first guess on.
+/// Mean run time at factor 1 in milliseconds. Before the first outcome it is the initial estimate.
 double meanRunMs(const Estimates &estimates, ProfileId profile);
 
-/// Run time at factor 1 that the share \a quantile of tasks stays under. For a guess the range is
-/// wide: a tenth of it to ten times.
+/// Quantile of the run time at factor 1 in milliseconds. Without outcomes, it ranges from a tenth
+/// of the initial estimate (quantile 0) to ten times as much (quantile 1).
 double runQuantileMs(const Estimates &estimates, ProfileId profile, double quantile);
 
 double speedFactor(const BackendSpeed &speed);
 
-/// A slow backend server that gets nothing is forgiven with time: otherwise one that has recovered
-/// would never be found out.
+/// Moves the factor of a slow backend server towards 1 while it is idle. Otherwise it would get no
+/// tasks, and its recovery would never be noticed.
 void decaySlowness(BackendSpeed &speed, std::int64_t idleMs);
 
-/// What another process has learned of a profile.
+/// Learned figures of a profile, for exchange between processes.
 struct ProfileSummary
 {
     std::string key;
@@ -81,16 +88,18 @@
     std::int64_t samples = 0;
 };
 
-/// Every profile that outcomes are known of.
+/// Returns all profiles that have outcomes, sorted by key.
 std::vector<ProfileSummary> learnedProfiles(const Estimates &estimates);
 
-/// Takes a profile over from another process, unless this one knows as much by itself.
+/// Replaces a profile by that of another process, unless this process has at least as many outcomes
+/// itself, or 16. Does nothing if the figures are not positive, or if the profile is new and the
+/// limit on profiles is reached.
 void importProfile(Estimates &estimates, const ProfileSummary &imported);
 
-/// The same of a backend server's factor.
+/// Likewise replaces the speed factor of a backend server.
 void importSpeed(BackendSpeed &speed, const BackendSpeed &imported);
 
-/// Takes in the run time of a task that succeeded.
+/// Updates the profile and the speed of the backend server with the run time of a successful task.
 void recordRunTime(Estimates &estimates, ProfileId profile, BackendSpeed &speed, double runMs);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/FairQueue.cpp
+++ b/Source/Core/Dispatch/Scheduling/FairQueue.cpp
@@ -5,8 +5,9 @@
 namespace Dispatch {
 namespace {
 
-/// How much response over ideal a long job gives up for a short one: with 4, a 5 s job lets jobs
-/// pass that arrive up to 20 s after it, within the 30 s of the default deadline.
+/// How long a job may be passed by shorter ones, as a multiple of its ideal duration. With 4, a 5 s
+/// job can be passed by jobs that arrive up to 20 s after it, which is within the default deadline
+/// of 30 s.
 constexpr double LengthWeight = 4;
 
 double sortKeyOf(const FairQueue &queue, const QueuedJob &job)
@@ -44,8 +45,9 @@
     if (!team.activeCallers.empty()) {
         return;
     }
-    // Nobody waits any more, so nobody is owed anything: without this, the time that new callers
-    // start from stands still while each brings one task, and old callers could never be forgotten.
+    // No caller of the team waits any more, so none has a claim to earlier service. Without this,
+    // the virtual time at which new callers start would stand still while each of them sends one
+    // task, and idle callers could never be removed.
     team.callersVirtualTime = std::max(team.callersVirtualTime, team.lastCallersVirtualTime);
     queue.activeTeams.erase({team.virtualTime, caller.team});
     queue.activeWeight -= team.weight;
@@ -54,7 +56,7 @@
     }
 }
 
-/// Moves caller and team on in virtual time, keeping the active sets in order.
+/// Advances the virtual times of the caller and its team, keeping the active sets in order.
 void advanceVirtualTime(FairQueue &queue, CallerId id, double workMs)
 {
     CallerQueue &caller = queue.callers[id];
--- a/Source/Core/Dispatch/Scheduling/FairQueue.h
+++ b/Source/Core/Dispatch/Scheduling/FairQueue.h
@@ -13,33 +13,33 @@
 #include "Dispatch/Scheduling/QueuedWork.h"
 #include "Dispatch/Scheduling/WorkRate.h"
 
-/// Whose task is next when a slot is free.
+/// Decides which caller's task is next when a slot is free.
 ///
-/// Load pattern: one caller sends ten times its share, or a burst of hundreds of tasks; long jobs
-/// come in front of short ones. First-in first-out makes everybody wait behind the burst.
+/// Load pattern: one caller sends ten times its share, or a burst of hundreds of tasks, or long
+/// jobs arrive before short ones. In a first-in, first-out queue all others would wait behind them.
 ///
-/// Weighted fair queueing in virtual time, first among teams by weight, then among a team's
-/// callers. A caller is charged slot time, not tasks: the estimate when a task starts, the
-/// difference to the true run time when it ends. So a caller of long tasks, or one that declares
-/// too little, gets no more of the slots than others. Chosen over deficit round robin, which needs
-/// many empty rounds when run times differ by a hundred times; here the next task costs a logarithm
-/// of the active callers.
+/// Weighted fair queueing in virtual time, first among teams by weight, then among the callers of a
+/// team. A caller is charged slot time instead of tasks: the estimate when a task starts, and the
+/// difference to the actual run time when it ends. So a caller with long tasks, or one that
+/// declares too short run times, gets no more of the slots than others. Deficit round robin would
+/// need many empty rounds when run times differ by a factor of a hundred; here, choosing the next
+/// task takes logarithmic time in the number of active callers.
 ///
-/// Within a caller, a job's place is its arrival plus a multiple of its ideal duration: a short job
-/// passes a long one, but only one that arrived within that multiple before it, so that no job
-/// waits for ever.
+/// The jobs of a caller are ordered by arrival time plus a multiple of the ideal duration: a short
+/// job passes a long one, but only if the long one arrived within that multiple of its duration
+/// before, so that no job waits for ever.
 namespace Dispatch {
 
 using TeamId = std::uint32_t;
 using CallerId = std::uint32_t;
 using JobNumber = std::uint64_t;
-/// Jobs whose tasks can run on the same backend servers. A lane without a free backend server is
-/// passed over and holds up no other.
+/// Lane of jobs whose tasks can run on the same backend servers. A lane without a free backend
+/// server is skipped and does not block the others.
 using LaneId = std::uint32_t;
 
 enum class QueueOrder {
     Fair,
-    /// Baseline: strict arrival order of all jobs, the first holding up the rest.
+    /// Baseline: strict arrival order of all jobs; the first job blocks the others.
     Arrival
 };
 
@@ -50,7 +50,7 @@
     TeamId team = 0;
     CallerId caller = 0;
     std::int64_t arrivalMs = 0;
-    /// Time the job would take on an idle site.
+    /// Time that the job would take on an idle site.
     double idealMs = 0;
 };
 
@@ -59,10 +59,10 @@
     std::string name;
     TeamId team = 0;
     double virtualTime = 0;
-    /// Jobs by lane, each lane in order.
+    /// Jobs by lane, each lane ordered by sort key.
     std::map<LaneId, std::set<std::pair<double, JobNumber>>> lanes;
     std::int64_t inFlight = 0;
-    /// Queued, held jobs included.
+    /// Tasks that wait, including those of jobs that are not runnable yet.
     std::int64_t queuedTasks = 0;
     QueuedWork queuedWork;
     WorkRate admitted;
@@ -72,10 +72,12 @@
 {
     std::string name;
     double weight = 1;
-    /// Most tasks in flight from here; 0 is no limit.
+    /// Maximum number of tasks in flight from this gateway; 0 means no limit.
     std::int64_t quota = 0;
     double virtualTime = 0;
+    /// Virtual time among the callers of this team.
     double callersVirtualTime = 0;
+    /// Highest virtual time that a caller of this team has reached.
     double lastCallersVirtualTime = 0;
     std::set<std::pair<double, CallerId>> activeCallers;
     std::unordered_map<std::string, CallerId> callers;
@@ -86,9 +88,9 @@
 struct FairQueue
 {
     QueueOrder order = QueueOrder::Fair;
-    /// Work that a caller or team which got less than its share may have ahead of those that did
-    /// not. Without it, two tasks that come close together wait for a hot caller's tasks in
-    /// between.
+    /// How far a caller or team that becomes active may start behind the current virtual time if it
+    /// has used less than its share. Without it, the second of two tasks that arrive close together
+    /// would wait for tasks of a busy caller.
     double burstCredit = 0;
     std::vector<TeamQueue> teams;
     std::unordered_map<std::string, TeamId> teamsByName;
@@ -97,20 +99,21 @@
     std::set<std::pair<double, TeamId>> activeTeams;
     double activeWeight = 0;
     double virtualTime = 0;
+    /// Highest virtual time that a team has reached.
     double lastVirtualTime = 0;
     std::map<JobNumber, QueuedJob> jobs;
-    /// Jobs waiting in each lane.
+    /// Number of jobs waiting in each lane.
     std::vector<std::size_t> laneJobs;
 };
 
-/// What is passed over at the moment.
+/// Lanes and callers that are skipped at the moment.
 struct Blocked
 {
-    /// Without a free place.
+    /// True for lanes without jobs or without a free slot.
     std::vector<bool> lanes;
-    /// Better off waiting for a faster place; others may use what is free.
+    /// Callers for whom waiting for a faster slot is better. Others may use the free slots.
     std::set<CallerId> callers;
-    /// Tasks of those callers.
+    /// Queued tasks of these callers.
     std::int64_t callersTasks = 0;
 };
 
@@ -119,23 +122,24 @@
 CallerId findOrAddCaller(FairQueue &queue, TeamId team, const std::string &name);
 
 void enqueue(FairQueue &queue, const QueuedJob &job);
-/// Does nothing where the job is not queued.
+/// Does nothing if the job is not queued.
 void dequeue(FairQueue &queue, JobNumber job);
 bool isQueued(const FairQueue &queue, JobNumber job);
 
-/// The job whose task is next, outside the blocked lanes and the teams at their quota.
+/// Returns the job whose task is next, skipping what is blocked and teams at their quota.
 std::optional<QueuedJob> nextJob(const FairQueue &queue, const Blocked &blocked);
 
-/// A task of \a caller has started and is expected to take \a workMs of a slot.
+/// Charges \a caller for a started task that is expected to take \a workMs of slot time.
 void chargeStart(FairQueue &queue, CallerId caller, double workMs);
-/// It ended and took \a correctionMs more than charged, or less.
+/// Corrects the charge of a task that has ended and took \a correctionMs more slot time than
+/// charged; negative if less.
 void chargeEnd(FairQueue &queue, CallerId caller, double correctionMs);
 
-/// The part of the slots that \a caller gets at least, against all who have tasks queued now.
+/// Share of the slots that \a caller gets at least while all callers with queued tasks compete.
 double fairShare(const FairQueue &queue, CallerId caller);
 
-/// Forgets callers that have nothing here and are owed nothing. Memory stays bounded by the callers
-/// of the last moments.
+/// Removes callers that have no tasks queued or in flight and have not used more than their share,
+/// so that memory is bounded by the number of recently active callers.
 void removeIdleCallers(FairQueue &queue);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/QueuedWork.h
+++ b/Source/Core/Dispatch/Scheduling/QueuedWork.h
@@ -7,8 +7,9 @@
 
 namespace Dispatch {
 
-/// Tasks that wait, by profile. Their work is worked out when asked for: a sum kept from the time
-/// of admission would go on refusing jobs over a first guess that outcomes have long corrected.
+/// Number of waiting tasks by profile. Their work is computed on demand: a sum of estimates from
+/// the time of admission would keep refusing jobs because of initial estimates that outcomes have
+/// long corrected.
 struct QueuedWork
 {
     std::map<ProfileId, std::int64_t> tasks;
@@ -16,11 +17,12 @@
 
 void addQueued(QueuedWork &work, ProfileId profile, std::int64_t tasks);
 
-/// Milliseconds of one slot at factor 1.
+/// Expected work in milliseconds of one slot at speed factor 1.
 double workMs(const QueuedWork &work, const Estimates &estimates);
 
-/// Expected work of one task, for admission. A guess is taken at its low end: a job is refused for
-/// what is known, not for a declaration.
+/// Expected work of one task for admission, in milliseconds of one slot at speed factor 1. For a
+/// guess the low end of its range is used, so that jobs are refused because of observed run times
+/// and not because of a declaration.
 double admissionRunMs(const Estimates &estimates, ProfileId profile);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/RetryBudget.cpp
+++ b/Source/Core/Dispatch/Scheduling/RetryBudget.cpp
@@ -5,10 +5,12 @@
 namespace Dispatch {
 namespace {
 
-/// The first retry goes elsewhere soon: at most a tenth of the shortest common task.
+/// The first retry follows soon, after at most a tenth of the run time of the shortest common
+/// tasks.
 constexpr std::int64_t FirstBackoffMs = 5;
 constexpr std::int64_t BackoffGrowth = 3;
 constexpr std::int64_t MaxBackoffMs = 2000;
+/// Added to the back-off while no token is left.
 constexpr std::int64_t OverBudgetDelayMs = 500;
 
 } // namespace
--- a/Source/Core/Dispatch/Scheduling/RetryBudget.h
+++ b/Source/Core/Dispatch/Scheduling/RetryBudget.h
@@ -4,12 +4,12 @@
 
 #include "Common/Common.h"
 
-/// How often, and how soon, a task that was proven not to have started is sent again.
+/// Limits how often and how soon a task that is proven not to have started is sent again.
 ///
-/// Load pattern: a backend server, a rack or a failure domain goes or comes back and hundreds of
-/// starts are refused in the same moment. Without a budget they are all sent again at once, are
-/// refused again, and the refusals crowd out starts elsewhere; without jitter they come back in
-/// step and meet the recovering backend server together.
+/// Load pattern: a backend server, a rack or a failure domain fails or returns, and hundreds of
+/// starts are refused at the same moment. Without a budget all of them are sent again at once and
+/// refused again, and the refusals displace starts elsewhere. Without jitter the retries stay
+/// synchronised and reach the recovering backend server together.
 namespace Dispatch {
 
 /// Tokens earned by starts and spent by retries.
@@ -18,20 +18,22 @@
     double tokens = 32;
 };
 
-/// One retry for ten starts, as in common RPC practice: a fleet that refuses more than that is
-/// better served by waiting. The burst lets the tasks of some lost backend servers of 8 slots go
-/// elsewhere at once.
+/// One retry for every ten starts, as is common for RPC retry budgets. If the fleet refuses more
+/// than that, waiting helps more than retrying.
 constexpr double RetryTokensPerStart = 0.1;
+/// Lets the tasks of several lost backend servers with 8 slots each be sent elsewhere at once.
 constexpr double MaxRetryTokens = 256;
-/// The back-offs between eight attempts add up to 2 s on average and 4 s at most: about what a
-/// lapsed lease or a silent agent takes to be noticed.
+/// The back-offs between eight attempts add up to 2 s on average and 4 s at most, which is about
+/// how long it takes to notice an expired lease or a silent agent.
 constexpr int MaxStartAttempts = 8;
 
+/// Adds the tokens that one start earns.
 void earnRetryTokens(RetryBudget &budget);
 
-/// How long the task waits before it is offered again, after its \a attempt th start was refused.
-/// Random between nothing and a bound that grows threefold. Without a token left, it also waits out
-/// the time in which tokens come back.
+/// Spends a token, if any, and returns how long in milliseconds the task waits before it is queued
+/// again, after its start number \a attempt was refused: a random time up to a bound that triples
+/// with each attempt. If no token is left, a fixed delay in which new tokens can be earned is
+/// added.
 std::int64_t spendRetry(RetryBudget &budget, int attempt, Common::Random &random);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/WorkRate.h
+++ b/Source/Core/Dispatch/Scheduling/WorkRate.h
@@ -5,14 +5,15 @@
 
 namespace Dispatch {
 
-/// Work offered in a millisecond, over the last seconds. Work is in milliseconds of one slot.
+/// Exponentially decaying sum of admitted work, from which the rate over the last seconds is
+/// computed. Work is in milliseconds of one slot.
 struct WorkRate
 {
     double workMs = 0;
     std::int64_t atMs = 0;
 };
 
-/// Long enough to see through a pause between two jobs, short against a deadline of 30 s.
+/// Long enough to bridge a pause between two jobs, and short compared with a deadline of 30 s.
 constexpr double RateTimeConstantMs = 2000;
 
 inline void addWork(WorkRate &rate, double workMs, std::int64_t nowMs)
@@ -22,6 +23,7 @@
     rate.atMs = nowMs;
 }
 
+/// Average work per millisecond over the last seconds.
 inline double workPerMs(const WorkRate &rate, std::int64_t nowMs)
 {
     const auto age = static_cast<double>(nowMs - rate.atMs);
