--- a/Source/Core/Dispatch/Scheduling/BackendMonitor.cpp
+++ b/Source/Core/Dispatch/Scheduling/BackendMonitor.cpp
@@ -5,18 +5,21 @@
 namespace Dispatch {
 namespace {
 
-/// Below this part of the expected time, a failure says more of the backend server than of the
-/// task.
+/// A failure within less than this fraction of the expected time is more likely the fault of the
+/// backend server than of the task.
 constexpr double FastFailureFraction = 0.25;
-/// A task this much over the time that 95 of 100 stay under hangs, more likely than not.
+/// A task that has run this many times longer than the 95th percentile most likely hangs.
 constexpr double OverdueFactor = 3;
 constexpr double OverdueQuantile = 0.95;
 constexpr std::int64_t StalledPeriodMs = 100;
 constexpr std::int64_t NoSlotPauseMs = 20;
-/// One task of a lost backend server's is refused, then one for each pause, up to 3.2 s.
+/// Doubled with each refusal in a row, up to 3.2 s. A lost backend server refuses one task, then
+/// one after each pause.
 constexpr std::int64_t FirstRefusalPauseMs = 50;
 constexpr int MaxRefusalDoublings = 6;
-/// Backend servers that are known and not leaving, and those of them that are ejected.
+
+/// Returns the number of backend servers that are neither lost nor draining, and how many of those
+/// are ejected or on trial.
 std::pair<std::size_t, std::size_t> countEjected(const BackendPool &pool)
 {
     std::size_t known = 0;
@@ -99,7 +102,8 @@
     BackendRecord &backend = pool.backends[index];
     switch (reason) {
     case Schema::Reason::NoSlot:
-        // Crossing messages overfilled it; its next message brings a window that is true.
+        // Messages crossed on the way, so that more was sent than the agent has slots for. Its next
+        // message carries the current window.
         backend.window = std::min(backend.window, backend.inFlight);
         backend.pausedUntilMs = nowMs + NoSlotPauseMs;
         break;
@@ -109,11 +113,11 @@
     case Schema::Reason::NotAfterPassed:
     case Schema::Reason::Cancelled:
     case Schema::Reason::EpochFenced:
-        // The task's or the shard's doing. Pausing for it would idle whole sites after a cancel
-        // wave.
+        // The cause lies with the task or the shard, not with the backend server. Pausing here
+        // would idle whole sites after many jobs are cancelled at once.
         break;
     default:
-        // Starts that were under way together are refused together: one pause for all of them.
+        // Starts that were sent together are refused together and cause only one pause.
         if (nowMs < backend.pausedUntilMs) {
             break;
         }
--- a/Source/Core/Dispatch/Scheduling/BackendPool.cpp
+++ b/Source/Core/Dispatch/Scheduling/BackendPool.cpp
@@ -7,7 +7,8 @@
 
 constexpr std::int64_t SweepPeriodMs = 25;
 constexpr std::int64_t MaxSlownessDecayStepMs = 1000;
-/// More than the services a site has; each costs an entry for every backend server.
+/// More than the number of services of a site. Each requirement takes an entry in every backend
+/// record.
 constexpr std::size_t MaxIdleRequirements = 64;
 
 bool runsService(const Schema::BackendServer &server, const std::string &service)
@@ -56,7 +57,8 @@
     }
 }
 
-/// Whether the backend server counts as able, after its equipment or its leaving has changed.
+/// Updates whether the backend server is eligible, after its description or its state (lost,
+/// draining) has changed.
 void updateEligibility(BackendPool &pool, BackendIndex index, RequirementId id, std::int64_t nowMs)
 {
     BackendRecord &backend = pool.backends[index];
@@ -108,8 +110,9 @@
     return std::find(pool.drains.begin(), pool.drains.end(), name) != pool.drains.end();
 }
 
-/// A newcomer among backend servers at work starts slowly. When most are new, as at this gateway's
-/// own start, there is no cold one among warm ones, and holding all back would only delay callers.
+/// Whether most known backend servers have already completed tasks. A new one then starts slowly,
+/// because it is cold among warm ones. When most are new, as after the start of this gateway,
+/// limiting all of them would only delay callers.
 bool mostAreEstablished(const BackendPool &pool)
 {
     std::size_t known = 0;
@@ -191,7 +194,7 @@
 
 bool isEligible(const BackendRecord &backend, const Requirement &requirement)
 {
-    // An idle requirement is judged too: its next job finds it as it is then.
+    // Idle requirements are evaluated too, because the next job uses them as they are.
     return !backend.instance.empty() && !backend.lost && !backend.draining
            && !backend.drainedByOperator && !requirement.key.empty()
            && runsService(backend.server, requirement.service)
@@ -269,7 +272,7 @@
     const bool known = found != pool.byInstance.end();
     const BackendIndex index = known ? found->second : addBackend(pool, hello.instance);
     BackendRecord &backend = pool.backends[index];
-    // Heartbeats after the first may leave the description out.
+    // Heartbeats after the first may omit the description.
     const bool described = !hello.backend.name.empty();
     const bool changed = !known || backend.lost || backend.draining != hello.draining
                          || (described && !sameDescription(backend.server, hello.backend));
@@ -354,7 +357,7 @@
     pool.inFlight -= 1;
     pool.inFlightWorkMs = pool.inFlight == 0 ? 0 : pool.inFlightWorkMs - workMs;
     if (backend.inFlight == 0) {
-        // Sums of fractions would drift.
+        // Resets the sums, in which rounding errors of fractions would accumulate.
         backend.used = Schema::Resources();
         backend.stalled = false;
     }
--- a/Source/Core/Dispatch/Scheduling/Capacity.h
+++ b/Source/Core/Dispatch/Scheduling/Capacity.h
@@ -4,15 +4,15 @@
 
 #include "Dispatch/Scheduling/BackendPool.h"
 
-/// How much the backend servers able to run a requirement can do, as admission and placement count
-/// on it: places by learned speed, without those that take no work at the moment.
+/// Capacity of the backend servers that are eligible for a requirement, as used by admission and
+/// placement: slots weighted by learned speed, without the backend servers that are unavailable.
 namespace Dispatch {
 
-/// Capacity by speed; worked out anew at most every 100 ms, so that looking through all backend
-/// servers is not part of each decision.
+/// Cumulative capacity by speed. Recomputed at most every 100 ms, and when the set of eligible
+/// backend servers changes, so that not every decision searches all backend servers.
 const std::vector<SpeedStep> &speedSteps(BackendPool &pool, RequirementId id, std::int64_t nowMs);
 
-/// Of all speeds; nothing where no backend server is usable.
+/// Capacity over all speeds; zero slots and capacity if no backend server is available.
 SpeedStep totalCapacity(BackendPool &pool, RequirementId id, std::int64_t nowMs);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/Health.cpp
+++ b/Source/Core/Dispatch/Scheduling/Health.cpp
@@ -7,15 +7,16 @@
 namespace {
 
 constexpr std::size_t BackendsPerEjection = 3;
-/// Three fast failures in a row: with one honest failure in twenty, once in 8,000 tasks.
+/// Fast failures in a row. A backend server where one task in twenty fails through no fault of its
+/// own reaches three once in 8,000 tasks.
 constexpr int MaxFastFailures = 3;
-/// Five slow ones in a row: once in 3 million.
+/// Failures in a row of any duration; the same backend server reaches five once in 3 million tasks.
 constexpr int MaxFailures = 5;
-/// For one that fails most but not all.
+/// Detects a backend server that fails most tasks but not all.
 constexpr double MaxFailureRate = 0.5;
 constexpr std::int64_t MinRateOutcomes = 12;
 constexpr double FailureRateSmoothingSamples = 12;
-/// A restart takes seconds; a trial that fails costs a caller a job, so they soon become rare.
+/// A restart takes seconds. Each failed trial costs a caller a job, so trials soon become rare.
 constexpr std::int64_t FirstEjectionMs = 2000;
 constexpr std::int64_t MaxEjectionMs = 60000;
 constexpr int MaxDoublings = 5;
@@ -34,7 +35,7 @@
     if (record.phase != HealthPhase::SlowStart) {
         return;
     }
-    // One more for each success doubles the limit with each turnover of the slots.
+    // One more for each success doubles the limit each time all tasks in flight have succeeded.
     record.slowStartLimit += 1;
     if (record.slowStartLimit >= FinalSlowStartLimit) {
         record.phase = HealthPhase::Healthy;
@@ -61,7 +62,7 @@
         service.failing += succeeded ? 0 : 1;
         return;
     }
-    // At fleet size, the first backend servers seen are sample enough.
+    // In a large fleet, the first backend servers are a sufficient sample.
     if (service.lastSucceeded.size() >= MaxOutcomesKept) {
         return;
     }
--- a/Source/Core/Dispatch/Scheduling/Health.h
+++ b/Source/Core/Dispatch/Scheduling/Health.h
@@ -4,18 +4,19 @@
 #include <cstdint>
 #include <unordered_map>
 
-/// Whether a backend server gets work, and how much.
+/// Health of a backend server: whether it gets work, and how much.
 ///
-/// Load pattern: a backend server that fails everything fails it fast, so that its slots are always
-/// free and it draws more work than any other; a stalled one keeps what it got; one that has just
-/// joined or recovered is cold. Without this, one bad backend server of eleven turns most jobs of a
-/// site into failures, since a failed task is never started again.
+/// Load pattern: a backend server that fails every task does so quickly, so that its slots are
+/// always free and it attracts more work than any other; a stalled one does not finish its tasks;
+/// one that has just joined or recovered is cold. Without health tracking, one faulty backend
+/// server of eleven makes most jobs of a site fail, because a failed task is never started again.
 ///
-/// Ejection rests on outcomes in a row and on the failure rate; the way back is one trial task,
-/// then a limit that doubles with successes. A service that fails on half of its backend servers is
-/// held to blame itself: its failures count against none. At most a third of the backend servers
-/// may be ejected: were more to fail, the cause would hardly be theirs, and the rest could not
-/// carry the load.
+/// A backend server is ejected after a number of failures in a row or at a high failure rate. It
+/// returns by one trial task and then a slow start, whose limit doubles with successes. A service
+/// that fails on more than half of its backend servers is considered faulty itself, and its
+/// failures do not count against any backend server. At most a third of the backend servers may be
+/// ejected: if more fail, the cause is hardly in the backend servers, and the rest could not carry
+/// the load.
 namespace Dispatch {
 
 enum class HealthPhase { SlowStart, Healthy, Ejected, Trial };
@@ -32,41 +33,46 @@
     std::int64_t slowStartLimit = 0;
 };
 
-/// How the last task of one service ended on each backend server, by the caller's index.
+/// Whether the last task of one service succeeded on each backend server, by the index that the
+/// caller of these functions uses. Covers the first 64 backend servers.
 struct ServiceOutcomes
 {
     std::unordered_map<std::uint32_t, bool> lastSucceeded;
+    /// Number of backend servers on which the last task failed.
     std::size_t failing = 0;
 };
 
 struct TaskOutcome
 {
     bool succeeded = false;
-    /// Ended in a fraction of the expected time.
+    /// Ended within a fraction of the expected time.
     bool fast = false;
 };
 
-/// A share of a third, and none where a backend server stands alone.
+/// Maximum number of ejected backend servers: a third, at least one, but none if there are fewer
+/// than two backend servers.
 std::size_t maxEjected(std::size_t backendCount);
 
 void recordServiceOutcome(ServiceOutcomes &service, std::uint32_t backend, bool succeeded);
 
-/// The service fails wherever it runs.
+/// Whether the last task of the service failed on more than half of its backend servers.
 bool isServiceFailing(const ServiceOutcomes &service);
 
-/// Takes an outcome in. True where the backend server should be ejected.
+/// Records an outcome. Returns true if the backend server should be ejected.
 bool recordOutcome(HealthRecord &record, const TaskOutcome &outcome);
 
-/// Out for a time that doubles with each ejection that follows another.
+/// Ejects the backend server for 2 s. The time doubles with each ejection, up to 60 s, until a slow
+/// start completes.
 void eject(HealthRecord &record, std::int64_t nowMs);
 
-/// Starts the limit of a new backend server at two tasks.
+/// Begins the slow start of a new or recovered backend server with a limit of two tasks.
 void beginSlowStart(HealthRecord &record);
 
-/// Lets an ejected backend server have its trial when its time is up. True where something changed.
+/// Starts the trial of an ejected backend server when its ejection time is over. Returns true if
+/// the phase has changed.
 bool startTrialIfDue(HealthRecord &record, std::int64_t nowMs);
 
-/// Most tasks that may be in flight, of the \a window the agent offers.
+/// Maximum number of tasks that may be in flight, given the \a window that the agent offers.
 std::int64_t healthLimit(const HealthRecord &record, std::int64_t window);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/Placement.cpp
+++ b/Source/Core/Dispatch/Scheduling/Placement.cpp
@@ -7,18 +7,22 @@
 namespace Dispatch {
 namespace {
 
-/// All of a small site, and at 860 backend servers a sample whose best is among the fastest 6%. The
-/// cost for each task stays the same at any size, and gateways do not all pick the same one.
+/// Covers all backend servers of a small site. Of 860 backend servers, the best of a sample of this
+/// size is among the fastest 6%. The cost per task does not grow with the site, and the gateways do
+/// not all choose the same backend server.
 constexpr std::size_t CandidateCount = 16;
-/// A failure domain with all of the work looks that much slower than one with its part: equals are
-/// spread, so that a lost domain takes its part of the running tasks and not most of them, but a
-/// backend server a third faster is still preferred.
+/// How much slower a failure domain is rated per unit by which its part of the running tasks
+/// exceeds an equal part. Tasks are spread over equally fast backend servers, so that the loss of a
+/// failure domain affects its part of the running tasks and not most of them. A backend server that
+/// is a third faster is still preferred.
 constexpr double DomainSpreadWeight = 0.15;
 /// Breaks ties between equals differently at each gateway.
 constexpr double ScoreJitter = 0.02;
-/// The wait for a faster place is an estimate: a sure place now is worth this much of it.
+/// The wait for a faster slot is only an estimate, whereas a free slot is certain: waiting must
+/// save more than this many times the wait.
 constexpr double WaitSafetyFactor = 4;
-/// Ones this close in speed are not worth waiting for.
+/// Backend servers are worth waiting for only if their speed factor is below this part of the free
+/// one's.
 constexpr double NoticeablyFaster = 0.9;
 constexpr double TrialPreferredFactor = 0.5;
 constexpr double TrialAvoidedFactor = 2;
@@ -28,8 +32,9 @@
     return static_cast<double>(random() >> 11U) * 0x1.0p-53;
 }
 
-/// The trial of an ejected backend server may fail a job: one that can be submitted again is
-/// preferred for it, another takes it only where little else is free.
+/// The trial of an ejected backend server may make a job fail. So an idempotent job, which can be
+/// submitted again, is preferred for the trial, and other jobs are used only if little else is
+/// free.
 double trialFactor(const BackendRecord &backend, bool idempotent)
 {
     if (backend.health.phase != HealthPhase::Trial) {
@@ -67,8 +72,8 @@
     return best;
 }
 
-/// A faster backend server will be free so soon that the task would end earlier there. The queue in
-/// front is counted, so that under overload every place is used.
+/// Whether a faster backend server will be free so soon that the task would end earlier there. The
+/// estimate includes the tasks ahead in the queue, so that under overload every slot is used.
 bool betterToWait(BackendPool &pool, const PlacementQuery &query, BackendIndex index,
                   std::int64_t nowMs)
 {
--- a/Source/Core/Dispatch/Scheduling/SlotReserve.cpp
+++ b/Source/Core/Dispatch/Scheduling/SlotReserve.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr double MaxReservedShare = 0.25;
-/// Room for a short burst above the last peak.
+/// Leaves room for a short burst above the last peak.
 constexpr double PeakHeadroom = 1.25;
-/// Longer than a long task runs, so that one batch of them does not wear the reserve away.
+/// Longer than a long task runs, so that the reserve outlasts one batch of long tasks.
 constexpr double PeakHalfLifeMs = 10000;
 
 double decayedPeak(const SlotReserve &reserve, std::int64_t nowMs)
