--- a/Source/Core/Dispatch/Scheduling/ScheduledJobs.cpp
+++ b/Source/Core/Dispatch/Scheduling/ScheduledJobs.cpp
@@ -13,7 +13,8 @@
     return found == state.services.end() ? ServiceSettings{} : found->second;
 }
 
-/// Time after which the job's run time leaves nothing of its deadline.
+/// Wall-clock time after which a start is too late for the deadline, going by the median run time
+/// on the fastest available backend server. The deadline itself while the run time is only a guess.
 std::int64_t lastStartOf(SchedulerState &state, const ScheduledJob &job, Common::Moment now)
 {
     if (isGuess(state.estimates, job.profile)) {
--- a/Source/Core/Dispatch/Scheduling/Scheduler.cpp
+++ b/Source/Core/Dispatch/Scheduling/Scheduler.cpp
@@ -19,16 +19,17 @@
 std::optional<Refusal> refuseUnknown(const SchedulerState &state, const JobDemand &demand)
 {
     if (state.teams.count(demand.team) == 0) {
-        return Refusal{Schema::Reason::UnknownTeam, "no team " + demand.team, 0};
+        return Refusal{Schema::Reason::UnknownTeam, "unknown team " + demand.team, 0};
     }
     if (state.services.count(demand.service) == 0) {
-        return Refusal{Schema::Reason::UnknownService, "no service " + demand.service, 0};
+        return Refusal{Schema::Reason::UnknownService, "unknown service " + demand.service, 0};
     }
     return std::nullopt;
 }
 
-/// This gateway's part of a quota that holds for the region. At least one task, so that no team is
-/// shut out: with a quota below the number of gateways, one task for each gateway may run.
+/// This gateway's part of the team's quota, which applies to the region; 0 means no limit. It is at
+/// least one task, so that no team is excluded. With a quota below the number of gateways, one task
+/// per gateway may run.
 std::int64_t quotaShare(const SchedulerState &state, const Schema::Team &team)
 {
     const std::int64_t quota = team.quota.value_or(0);
@@ -118,7 +119,7 @@
     return backlog;
 }
 
-/// The quantile that all of \a tasks stay under in half of the cases.
+/// The quantile of the run time that all of \a tasks stay under in half of the cases, at most 0.95.
 double slowestQuantile(int tasks)
 {
     constexpr double MaxQuantile = 0.95;
--- a/Source/Core/Dispatch/Scheduling/SchedulerState.h
+++ b/Source/Core/Dispatch/Scheduling/SchedulerState.h
@@ -30,7 +30,7 @@
     }
 };
 
-/// A job that has tasks to be placed or in flight, until dropJob().
+/// A job that has tasks to be placed or in flight. Kept until dropJob() or until it expires.
 struct ScheduledJob
 {
     JobDemand demand;
@@ -43,15 +43,16 @@
     bool runnable = false;
     double idealMs = 0;
     std::int64_t admittedMs = 0;
-    /// Wall clock: a task that starts later will more likely than not miss the deadline.
+    /// Wall-clock time after which a task that starts will probably miss the deadline.
     std::int64_t lastStartMs = 0;
-    /// Last first.
+    /// Indices of the waiting tasks, the next one at the back.
     std::vector<int> queued;
-    /// Waiting out their back-off.
+    /// Number of tasks that wait outside the queue: for the end of their back-off or, with a
+    /// baseline for placement, for their backend server.
     std::int64_t delayed = 0;
-    /// Refused starts by task.
+    /// Number of refused starts by task.
     std::map<int, int> attempts;
-    /// Tasks in flight or ended.
+    /// Number of tasks in flight or ended.
     std::int64_t started = 0;
 };
 
@@ -64,8 +65,9 @@
     Schema::Resources resources;
     CallerId caller = 0;
     bool isLong = false;
+    /// Expected run time at speed factor 1.
     double workMs = 0;
-    /// What the caller was charged: the work on this backend server.
+    /// Slot time charged to the caller: the expected run time on this backend server.
     double chargedMs = 0;
     std::int64_t sinceMs = 0;
 };
@@ -79,23 +81,25 @@
     std::int64_t expectedRunMs = 0;
 };
 
-/// Modules that a test switches off, to show that its bound rests on them.
+/// Modules that a test can switch off to show that its limit depends on them.
 struct SchedulerSwitches
 {
     bool ejection = true;
     bool slotReserve = true;
-    /// With the pauses after refused starts.
+    /// Includes the pauses after refused starts.
     bool retryBudget = true;
 };
 
-/// Everything the scheduler knows. Reached through Scheduler.h only.
+/// State of the scheduler. Apart from its settings, other modules change it only through the
+/// functions of Scheduler.h.
 struct SchedulerState
 {
-    /// An agent not heard from for this long gets no work.
+    /// An agent that has sent nothing for this long gets no work.
     std::int64_t agentSilenceMs = 2500;
     SchedulerSwitches switches;
     AdmissionLimits limits;
-    /// Shortest time between two rounds of starts: those of a round to one agent share a message.
+    /// Minimum time between two rounds of starts. All starts of a round for one agent share a
+    /// message.
     std::int64_t startBatchMs = 0;
     std::int64_t lastRoundMs = 0;
     Schema::PlacementPolicy placement = Schema::PlacementPolicy::WeightedWindow;
@@ -115,11 +119,11 @@
     std::unordered_map<JobNumber, ScheduledJob> jobs;
     JobNumber nextNumber = 1;
     std::unordered_map<TaskKey, TaskInFlight, TaskKeyHash> inFlight;
-    /// Steady time at which a task's back-off ends.
+    /// Tasks by the steady time at which their back-off ends.
     std::set<std::pair<std::int64_t, std::pair<JobNumber, int>>> delayed;
-    /// Only with a baseline for placement.
+    /// Used only with a baseline for placement.
     std::map<BackendIndex, BoundTasks> bound;
-    /// Jobs by the wall-clock time after which they cannot make their deadline.
+    /// Jobs by the wall-clock time after which they can no longer meet their deadline.
     std::set<std::pair<std::int64_t, JobNumber>> byLastStart;
     std::int64_t queuedTasks = 0;
     std::int64_t runnableTasks = 0;
--- a/Source/Core/Dispatch/Scheduling/SchedulerTasks.cpp
+++ b/Source/Core/Dispatch/Scheduling/SchedulerTasks.cpp
@@ -10,11 +10,12 @@
 namespace Dispatch {
 namespace {
 
-/// A caller's credit delays the others by no more than this: the shortest common task.
+/// A caller's credit delays the others by at most this time, the run time of the shortest common
+/// tasks.
 constexpr double BurstCreditMs = 50;
 constexpr std::int64_t RemoveIdleCallersPeriodMs = 10000;
 
-/// Blocks the lanes for which nothing is free. False where no lane with jobs is left.
+/// Blocks the lanes without jobs or without a free slot. Returns false if no lane is left.
 bool blockFullLanes(const SchedulerState &state, Blocked &blocked)
 {
     const std::vector<std::size_t> &laneJobs = state.queue.laneJobs;
@@ -30,8 +31,8 @@
     return open;
 }
 
-/// Tasks for which the next faster places are wanted too: the caller's own, and those of the
-/// callers before it that wait for one already.
+/// Number of tasks that compete for the next faster slots: the caller's own, and those of the
+/// callers before it that already wait for one.
 double tasksAhead(const SchedulerState &state, const ScheduledJob &job, const Blocked &blocked)
 {
     if (state.queue.order == QueueOrder::Arrival) {
@@ -129,7 +130,7 @@
         return;
     }
     addInFlight(state, *job, task.index, backend->second, now);
-    // restoreJob() has counted it as started.
+    // restoreJob() has already counted the task as started.
     job->started -= 1;
 }
 
--- a/Source/Core/Dispatch/Scheduling/SchedulerTypes.h
+++ b/Source/Core/Dispatch/Scheduling/SchedulerTypes.h
@@ -20,53 +20,53 @@
     return left.index == right.index && left.job == right.job;
 }
 
-/// What a job asks for, as far as deciding on it needs.
+/// The properties of a job that scheduling decisions depend on.
 struct JobDemand
 {
     std::string id;
     std::string team;
     std::string caller;
     std::string service;
-    /// Absent: the service's.
+    /// The resources of the service are used if absent.
     std::optional<Schema::Resources> resources;
     int taskCount = 0;
-    /// Wall clock.
+    /// Wall-clock time.
     std::int64_t deadlineMs = 0;
-    /// 0: the service's.
+    /// 0 means the expected run time of the service.
     std::int64_t declaredRunMs = 0;
     bool idempotent = false;
 };
 
-/// Nothing of the job was started.
+/// Why a job was refused or ended without any of its tasks having started.
 struct Refusal
 {
     Schema::Reason reason = Schema::Reason::None;
     std::string detail;
-    /// 0 where trying again later would not help.
+    /// 0 if a retry would not help.
     std::int64_t retryAfterMs = 0;
 };
 
-/// A task that goes to an agent now.
+/// A task to be sent to an agent now.
 struct Assignment
 {
     TaskKey task;
     std::string agent;
 };
 
-/// A job to be ended without a start.
+/// A job to be ended because none of its tasks was started in time.
 struct ExpiredJob
 {
     std::string job;
     Refusal refusal;
 };
 
-/// What becomes of a task that was proven not to have started.
+/// How to proceed with a task that is proven not to have started.
 enum class RetryDecision {
-    /// Waits for another agent.
+    /// The task waits to be assigned again.
     Requeued,
-    /// Its attempts are used up: it will not be assigned again.
+    /// All attempts are used up, and the task will not be assigned again.
     AttemptsExhausted,
-    /// Not known as in flight at that agent, or its job is gone.
+    /// The task is not in flight at that agent, or its job no longer exists.
     Ignored
 };
 
--- a/Source/Core/Dispatch/Scheduling/TasksInFlight.h
+++ b/Source/Core/Dispatch/Scheduling/TasksInFlight.h
@@ -6,18 +6,19 @@
 #include "Common/Common.h"
 #include "Dispatch/Scheduling/SchedulerState.h"
 
-/// Tasks between the moment they are sent to a backend server and the moment they end.
+/// Bookkeeping of the tasks that were sent to a backend server and have not ended.
 namespace Dispatch {
 
-/// Counts a task of \a job, which waits no more, in flight at \a backend.
+/// Counts a task of \a job, which no longer waits, as in flight at \a backend.
 void addInFlight(SchedulerState &state, ScheduledJob &job, int index, BackendIndex backend,
                  Common::Moment now);
 
-/// As addInFlight(), for a task that is sent now.
+/// Like addInFlight(), for a task that is sent now: its start also adds to the retry budget.
 Assignment startTask(SchedulerState &state, ScheduledJob &job, int index, BackendIndex backend,
                      Common::Moment now);
 
-/// Takes the task out of those in flight, where it is at \a agent.
+/// Removes the task from those in flight and returns it, or nothing if it is not in flight at
+/// \a agent.
 std::optional<TaskInFlight> removeInFlight(SchedulerState &state, const TaskKey &key,
                                            const std::string &agent, Common::Moment now);
 
