--- a/Source/AuburntrailFakeBackend/Main.cpp
+++ b/Source/AuburntrailFakeBackend/Main.cpp
@@ -15,7 +15,8 @@
 void addOptions(CLI::App &app, Options &options)
 {
     StandIn::addDaemonOptions(app, options.daemon);
-    app.add_option("--slots", options.control.slots, "tasks that run at once")
+    app.add_option("--slots", options.control.slots,
+                   "number of tasks that can run at the same time")
             ->check(CLI::Range(0, 1024))
             ->capture_default_str();
     app.add_option("--speed", options.control.speed, "a task of 100 ms takes 50 ms at speed 2")
--- a/Source/AuburntrailFakeLog/Main.cpp
+++ b/Source/AuburntrailFakeLog/Main.cpp
@@ -16,8 +16,9 @@
 void addOptions(CLI::App &app, Options &options)
 {
     StandIn::addDaemonOptions(app, options.daemon);
-    app.add_option("--seed", options.seed, "seed of the lost answers")->capture_default_str();
-    app.add_option("--sync-ms", options.control.syncMs, "what a synced write takes")
+    app.add_option("--seed", options.seed, "random seed that decides which answers are lost")
+            ->capture_default_str();
+    app.add_option("--sync-ms", options.control.syncMs, "time that a synced write takes")
             ->check(CLI::NonNegativeNumber)
             ->capture_default_str();
     app.add_option("--appends-per-second", options.control.appendsPerSecond)
--- a/Source/AuburntrailTool/Bench/BenchFile.cpp
+++ b/Source/AuburntrailTool/Bench/BenchFile.cpp
@@ -11,7 +11,7 @@
 constexpr int MaxTasks = 360;
 constexpr double MaxSeconds = 3600;
 
-/// Takes members out of an object and remembers the first fault.
+/// Reads members of a JSON object and keeps the first error.
 class Reader
 {
 public:
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The first fault; empty where all is well.
+    /// Returns the first error, or an empty string. A member that was not read is an unknown key.
     std::string finish()
     {
         if (!this->error.empty()) {
--- a/Source/AuburntrailTool/Bench/BenchPlan.h
+++ b/Source/AuburntrailTool/Bench/BenchPlan.h
@@ -6,7 +6,7 @@
 
 namespace Tool {
 
-/// One job to be submitted at its time, whatever has become of those before it.
+/// A job that is submitted at its planned time, whether or not earlier jobs have ended.
 struct PlannedJob
 {
     double atMs = 0;
@@ -14,18 +14,19 @@
     std::size_t stream = 0;
     int caller = 0;
     std::vector<double> runMs;
-    /// What the unloaded site would take for the job.
+    /// Response time of the job on an unloaded site.
     double idealMs = 0;
 };
 
-/// Milliseconds of run time at speed 1 that the site can do in a second.
+/// Run time at speed 1, in milliseconds, that the site can execute per second.
 double capacityMsPerSecond(const std::vector<BackendGroup> &backends);
 
-/// Time the unloaded site takes for a job: each task, the longest first, goes to the slot where it
-/// ends soonest. No network and no work of the dispatcher is counted.
+/// Response time of a job on an unloaded site: the tasks, longest first, are each assigned to the
+/// slot where they end soonest. Network and dispatcher overhead is not included.
 double idealResponseMs(const std::vector<BackendGroup> &backends, std::vector<double> runMs);
 
-/// Poisson arrivals of all streams in order of time; the same file gives the same plan.
+/// Draws Poisson arrivals for all streams and returns them ordered by time. The same file gives the
+/// same plan.
 std::vector<PlannedJob> planJobs(const BenchFile &file);
 
 } // namespace Tool
--- a/Source/AuburntrailTool/Bench/BenchReport.cpp
+++ b/Source/AuburntrailTool/Bench/BenchReport.cpp
@@ -27,7 +27,7 @@
             {"max", quantiles.max}};
 }
 
-/// What callers of some jobs received.
+/// Answers that the callers of a set of jobs received.
 struct Tally
 {
     std::vector<double> ratios;
@@ -82,9 +82,10 @@
     return tally;
 }
 
-/// Work of the jobs that were answered as completed in the counted time, over what the site could
-/// have done in it. By time of answer: a backlog that is worked off after the last arrival would
-/// otherwise count as goodput of the run, and come out above the site's capacity.
+/// Work of the jobs that were answered as completed between the warm-up and the end of the run,
+/// divided by the site's capacity in that time. Jobs are counted by the time of their answer: a
+/// backlog that is processed after the last arrival would otherwise count as goodput of the run,
+/// which could then exceed the site's capacity.
 Json goodputJson(const BenchResult &result, const Tally &tally)
 {
     const double startMs = result.file.warmupSeconds * MsPerSecond;
@@ -142,7 +143,7 @@
             {"grown", grown}};
 }
 
-/// Counters labelled with a reason, over all processes.
+/// Growth of the counters that have a label "reason", summed over all processes.
 Json reasonCounters(const Json &processes)
 {
     std::map<std::string, double> sums;
--- a/Source/AuburntrailTool/Bench/BenchReport.h
+++ b/Source/AuburntrailTool/Bench/BenchReport.h
@@ -17,10 +17,10 @@
     double max = 0;
 };
 
-/// By nearest rank; zeros where there is no value.
+/// Quantiles by the nearest-rank method; all zero if \a values is empty.
 Quantiles quantilesOf(std::vector<double> values);
 
-/// Everything measured in one run.
+/// All measurements of one run.
 struct BenchResult
 {
     BenchFile file;
@@ -32,7 +32,9 @@
     std::vector<nlohmann::json> backendsAfter;
 };
 
-/// Jobs that arrived in the warm-up are left out of all but the counters of processes.
+/// Jobs that arrived during the warm-up are excluded, except from the counters of processes and
+/// backend servers, the number of submitted tasks, and the goodput, which counts jobs by the time
+/// of their answer.
 nlohmann::json reportJson(const BenchResult &result);
 std::string reportTable(const nlohmann::json &report);
 
--- a/Source/AuburntrailTool/Bench/BenchRun.cpp
+++ b/Source/AuburntrailTool/Bench/BenchRun.cpp
@@ -16,9 +16,10 @@
 using Clock = std::chrono::steady_clock;
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
-/// Above any backlog that a run builds up: a bound reached here would close the loop.
+/// Larger than any backlog of a run. If the limit were reached, arrivals would wait for answers,
+/// and the load would no longer be open-loop.
 constexpr int MaxConnections = 4000;
-/// A gateway answers at the deadline; this much later its answer counts as lost.
+/// A gateway answers by the deadline. A call without an answer this long after it times out.
 constexpr std::int64_t AnswerGraceMs = 10000;
 
 std::string resultOf(std::size_t job, std::size_t task)
@@ -107,7 +108,8 @@
     record.isWrong = record.outcome == "completed" && !hasOwnResults(answer, number, tasks);
 }
 
-/// The run while it goes on. Records are written by the clients' threads, each its own.
+/// State of a run in progress. Records are written by the clients' threads, each record by one
+/// thread.
 struct Run
 {
     const BenchFile &file;
--- a/Source/AuburntrailTool/Bench/BenchRun.h
+++ b/Source/AuburntrailTool/Bench/BenchRun.h
@@ -7,23 +7,23 @@
 
 namespace Tool {
 
-/// What became of one planned job, as its caller saw it.
+/// Outcome of one planned job as observed by its caller.
 struct JobRecord
 {
-    /// From the planned arrival, also where the bench itself was late to send.
+    /// Measured from the planned arrival, even if the bench submitted the job late.
     double responseMs = 0;
-    /// How late the bench sent it.
+    /// Delay between the planned arrival and the submission.
     double lateMs = 0;
-    /// A Schema::JobOutcome, or how the call failed.
+    /// Name of a Schema::JobOutcome, or how the call failed.
     std::string outcome;
     std::string reason;
     bool isNotRun = false;
-    /// Completed with other results than this job's own, or not all of them.
+    /// The job completed, but its results are incomplete or belong to another job.
     bool isWrong = false;
 };
 
-/// Submits \a jobs at their times to \a gateways in turn, and waits for every answer. Records are
-/// in the order of \a jobs.
+/// Submits \a jobs at their planned times to \a gateways in turn, and waits until each call has
+/// ended. The records are in the order of \a jobs.
 std::vector<JobRecord> runJobs(const BenchFile &file, const std::vector<PlannedJob> &jobs,
                                const std::vector<std::string> &gateways);
 
--- a/Source/AuburntrailTool/Bench/Scrape.h
+++ b/Source/AuburntrailTool/Bench/Scrape.h
@@ -8,27 +8,29 @@
 
 namespace Tool {
 
-/// Series of a Prometheus text page with their values, labels as part of the name.
+/// Series of a Prometheus text page and their values. Labels are part of the series' name.
 using Samples = std::map<std::string, double>;
 
 Samples parseSamples(const std::string &page);
 
-/// Sum of the series whose name, without labels, is \a name.
+/// Sum of all series whose name without labels is \a name.
 double sumOf(const Samples &samples, const std::string &name);
 
-/// What grew from \a before to \a after.
+/// Change of each series from \a before to \a after, without those that did not change. A series
+/// that is missing in \a before counts from 0.
 Samples difference(const Samples &before, const Samples &after);
 
-/// What can be learned from one process's /metrics, or one backend server's /control/stats.
+/// Metrics of one process, read from its /metrics.
 struct ScrapedProcess
 {
     std::string address;
     Samples samples;
 };
 
-/// Processes that do not answer are left out.
+/// Reads the metrics of the processes at \a addresses. Processes that do not answer are omitted.
 std::vector<ScrapedProcess> scrapeMetrics(const std::vector<std::string> &addresses);
-/// /control/stats of the stand-in backend servers, one object each.
+/// Reads /control/stats of the stand-in backend servers, one object each. Servers that do not
+/// answer are omitted.
 std::vector<nlohmann::json> scrapeBackends(const std::vector<std::string> &addresses);
 
 } // namespace Tool
--- a/Source/AuburntrailTool/BenchCommand.cpp
+++ b/Source/AuburntrailTool/BenchCommand.cpp
@@ -24,7 +24,7 @@
     double seconds = 0;
 };
 
-/// Sets the stand-in backend servers to the slots and speeds that the file names, in its order.
+/// Configures the stand-in backend servers with the slots and speeds of the file, in its order.
 bool configureBackends(const BenchFile &file, const std::vector<std::string> &addresses)
 {
     Net::HttpClient client(1);
@@ -36,7 +36,8 @@
             call.url = "http://" + addresses[next] + "/control";
             call.body = Json{{"slots", group.slots}, {"speed", group.speed}}.dump();
             if (client.perform(call).status != 200) {
-                std::cerr << "backend server " << addresses[next] << " took no new size\n";
+                std::cerr << "backend server " << addresses[next]
+                          << " did not accept its slots and speed\n";
                 return false;
             }
         }
@@ -65,7 +66,7 @@
     file.load = options.load > 0 ? options.load : file.load;
     file.seconds = options.seconds > 0 ? options.seconds : file.seconds;
     if (file.warmupSeconds >= file.seconds) {
-        std::cerr << "the warm-up is no shorter than the run\n";
+        std::cerr << "the warm-up must be shorter than the run\n";
         return ExitCode::Failed;
     }
     if (!configureBackends(file, options.backends)) {
@@ -100,11 +101,12 @@
 {
     auto options = std::make_shared<BenchOptions>();
     CLI::App *command = app.add_subcommand(
-            "bench", "send a load whose arrivals do not wait for answers, and measure the answers");
+            "bench",
+            "submit an open-loop load, whose arrivals do not wait for answers, and measure it");
     command->add_option("--file", options->file, "YAML file of the experiment, as in bench/")
             ->required()
             ->check(CLI::ExistingFile);
-    command->add_option("--out", options->out, "write the result there as JSON");
+    command->add_option("--out", options->out, "file to write the result to, as JSON");
     command->add_option("--agents", options->agents, "addresses of the agents' metrics, host:port")
             ->delimiter(',')
             ->allow_extra_args(false);
@@ -113,8 +115,8 @@
                         "they are set to its slots and speeds")
             ->delimiter(',')
             ->allow_extra_args(false);
-    command->add_option("--load", options->load, "overrules the file's load");
-    command->add_option("--seconds", options->seconds, "overrules the file's length");
+    command->add_option("--load", options->load, "overrides the file's load");
+    command->add_option("--seconds", options->seconds, "overrides the file's duration");
     command->callback([&context, options] { context.exitCode = run(context, *options); });
 }
 
--- a/Source/AuburntrailTool/Commands.h
+++ b/Source/AuburntrailTool/Commands.h
@@ -5,10 +5,12 @@
 #include <string>
 #include <vector>
 
-/// The command line's subcommands. Each adds itself to the application and runs as its callback.
+/// Subcommands of the command line. Each function adds commands to the application; a command runs
+/// in its callback and sets Context::exitCode.
 namespace Tool {
 
-/// What a script can tell apart. Errors in the command line itself give 100 and above, from CLI11.
+/// Exit codes that scripts can distinguish. CLI11 returns 100 and above for errors in the command
+/// line.
 enum class ExitCode {
     Done = 0,
     Failed = 1,
@@ -23,7 +25,7 @@
         "error;\n2 refused, not run; 3 outcome unknown; 4 no gateway could be reached; 5 lost "
         "against another operator's change;\n100 and above: error in the command line";
 
-/// Options that all subcommands share, and how the one that ran ended.
+/// Options shared by all subcommands, and the exit code of the one that ran.
 struct Context
 {
     std::vector<std::string> gateways{"127.0.0.1:8080"};
--- a/Source/AuburntrailTool/ConfigCommand.cpp
+++ b/Source/AuburntrailTool/ConfigCommand.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::chrono::milliseconds WatchPeriod{500};
 
-/// One change as the command line gives it. Members that were not given are left out.
+/// A change as given on the command line. Members that were not given are omitted.
 struct ChangeOptions
 {
     std::string kind;
@@ -59,7 +59,7 @@
     return ExitCode::Done;
 }
 
-/// Prints the version each time it changes, until \a seconds have passed.
+/// Prints the configuration version whenever it changes, for \a seconds.
 ExitCode watchConfiguration(const Context &context, std::int64_t seconds)
 {
     const std::int64_t endMs = Common::currentMoment().steadyMs + seconds * 1000;
@@ -75,7 +75,8 @@
     return ExitCode::Done;
 }
 
-/// The value in force of the key that \a options change, so that members not given stay.
+/// Returns the current value of the key that \a options change, so that members that are not given
+/// keep their values.
 Json currentValue(const Json &configuration, const ChangeOptions &options)
 {
     if (options.kind == "policy") {
@@ -115,7 +116,7 @@
     return ExitCode::Done;
 }
 
-/// An option that lands in the change's value under \a member.
+/// Adds an option that sets \a member of the change's value.
 template <typename Value>
 void addMember(CLI::App *command, const std::shared_ptr<ChangeOptions> &options,
                const std::string &flag, const std::string &member, const std::string &help)
@@ -124,7 +125,7 @@
             flag, [options, member](const Value &value) { options->value[member] = value; }, help);
 }
 
-/// Resources are only complete together.
+/// Adds an option for all resources at once, because their value must be complete.
 void addResources(CLI::App *command, const std::shared_ptr<ChangeOptions> &options)
 {
     command->add_option_function<std::vector<double>>(
@@ -155,7 +156,7 @@
         command->add_flag("--remove", options->isRemoval, "remove it");
     }
     command->add_option("--based-on", options->basedOn,
-                        "version the change was decided on; the version in force when absent");
+                        "version that the change is based on; the current version if absent");
     command->callback([&context, options, isNamed] {
         if (isNamed) {
             options->value["name"] = options->name;
@@ -196,7 +197,7 @@
 {
     CLI::App *config = app.add_subcommand("config", "read and change the configuration");
     config->require_subcommand(1);
-    config->add_subcommand("get", "print the configuration in force")->callback([&context] {
+    config->add_subcommand("get", "print the current configuration")->callback([&context] {
         context.exitCode = showConfiguration(context);
     });
     config->add_subcommand("history", "print the version at which each key last changed")
--- a/Source/AuburntrailTool/DrainCommand.cpp
+++ b/Source/AuburntrailTool/DrainCommand.cpp
@@ -10,8 +10,9 @@
 
 using Json = nlohmann::json;
 
-/// Based on the version just read: an operator who drains means it whatever else has changed, but
-/// must not overrule another's change to the same backend server that comes in between.
+/// Drains or undrains a backend server, based on the configuration version just read. A drain
+/// applies whatever else has changed before, but must not override another operator's change to the
+/// same backend server that is made in between.
 ExitCode setDrain(const Context &context, const std::string &backend, bool isDraining)
 {
     const ApiAnswer current = callGateway(context, {"GET", "/v1/config", std::nullopt});
@@ -48,9 +49,9 @@
 
 void addDrainCommands(CLI::App &app, Context &context)
 {
-    addOne(app, context, "drain", "give a backend server no more work; what runs there goes on",
-           true);
-    addOne(app, context, "undrain", "give a drained backend server work again", false);
+    addOne(app, context, "drain",
+           "assign no more tasks to a backend server; running tasks continue", true);
+    addOne(app, context, "undrain", "assign tasks to a drained backend server again", false);
 }
 
 } // namespace Tool
--- a/Source/AuburntrailTool/GatewayApi.h
+++ b/Source/AuburntrailTool/GatewayApi.h
@@ -9,11 +9,12 @@
 
 namespace Tool {
 
-/// A gateway's answer, taken apart.
+/// A gateway's parsed answer.
 struct ApiAnswer
 {
     bool isReached = false;
-    /// False after a call that may have been acted on without an answer.
+    /// False if no answer was received. If isReached is true, the gateway may have executed the
+    /// call.
     bool isAnswered = false;
     int status = 0;
     nlohmann::json body;
@@ -29,8 +30,8 @@
     std::optional<nlohmann::json> body;
 };
 
-/// Asks the gateways of \a context in turn. The next one is tried only where the connection was
-/// never made: after that the call may have been acted on.
+/// Sends \a call to the gateways of \a context in turn until one is reached. The next one is tried
+/// only if no connection was established, since otherwise the call may have been executed.
 ApiAnswer callGateway(const Context &context, const ApiCall &call);
 ApiAnswer callOneGateway(const Context &context, const std::string &gateway, const ApiCall &call);
 
--- a/Source/AuburntrailTool/JobCommands.cpp
+++ b/Source/AuburntrailTool/JobCommands.cpp
@@ -35,12 +35,12 @@
 void addJobCommands(CLI::App &app, Context &context)
 {
     auto get = std::make_shared<JobOptions>();
-    CLI::App *getCommand = addJobCommand(app, "get", "show a job's answer as it stands", *get);
+    CLI::App *getCommand = addJobCommand(app, "get", "show the current answer of a job", *get);
     getCommand->add_flag("--wait", get->isWaiting, "wait for the end of the job");
     getCommand->callback([&context, get] { context.exitCode = callJob(context, "GET", *get); });
 
     auto cancel = std::make_shared<JobOptions>();
-    addJobCommand(app, "cancel", "cancel a job; tasks that have started run to their end", *cancel)
+    addJobCommand(app, "cancel", "cancel a job; tasks that have started run to completion", *cancel)
             ->callback(
                     [&context, cancel] { context.exitCode = callJob(context, "DELETE", *cancel); });
 }
--- a/Source/AuburntrailTool/Output.cpp
+++ b/Source/AuburntrailTool/Output.cpp
@@ -56,7 +56,7 @@
 
 ExitCode reportTransport(const ApiAnswer &answer, ExitCode afterReaching)
 {
-    std::cerr << (answer.isReached ? "no answer, the gateway may have acted: "
+    std::cerr << (answer.isReached ? "no answer, the gateway may have executed the call: "
                                    : "no gateway could be reached: ")
               << answer.error << '\n';
     return answer.isReached ? afterReaching : ExitCode::Unreachable;
--- a/Source/AuburntrailTool/Output.h
+++ b/Source/AuburntrailTool/Output.h
@@ -10,16 +10,16 @@
 
 using Row = std::vector<std::string>;
 
-/// Columns padded to their widest entry; the first row is the heading.
+/// Formats a table with columns padded to their widest entry. The first row is the heading.
 std::string formatTable(const std::vector<Row> &rows);
-/// A number with \a decimals digits after the point.
+/// Formats a number with \a decimals digits after the decimal point.
 std::string formatNumber(double value, int decimals);
-/// A string as it is, anything else as JSON.
+/// Returns a string as it is, and any other value as JSON.
 std::string plainText(const nlohmann::json &value);
 
-/// Prints a job's answer and gives the exit code that fits it.
+/// Prints a job's answer and returns the matching exit code.
 ExitCode reportJob(const Context &context, const ApiAnswer &answer);
-/// Prints why a call that is not about a job did not succeed.
+/// Prints why a call that does not concern a job failed, and returns the matching exit code.
 ExitCode reportError(const ApiAnswer &answer);
 void printJson(const nlohmann::json &value);
 
--- a/Source/AuburntrailTool/QueryCommand.cpp
+++ b/Source/AuburntrailTool/QueryCommand.cpp
@@ -14,7 +14,7 @@
 void printError(const std::string &text, const Json &answer)
 {
     const auto column = answer.value("column", std::int64_t{0});
-    std::cerr << answer.value("error", "not understood") << '\n';
+    std::cerr << answer.value("error", "the query could not be parsed") << '\n';
     if (column > 0) {
         std::cerr << text << '\n'
                   << std::string(static_cast<std::size_t>(column - 1), ' ') << "^\n";
@@ -60,8 +60,8 @@
 void addQueryCommand(CLI::App &app, Context &context)
 {
     auto words = std::make_shared<std::vector<std::string>>();
-    CLI::App *command = app.add_subcommand("query", "run a line of the operators' language");
-    command->add_option("text", *words, "the query; words are joined by blanks")->required();
+    CLI::App *command = app.add_subcommand("query", "run a query in the operators' query language");
+    command->add_option("text", *words, "the query; words are joined by spaces")->required();
     command->callback([&context, words] {
         context.exitCode = query(context, CLI::detail::join(*words, " "));
     });
--- a/Source/AuburntrailTool/StatusCommand.cpp
+++ b/Source/AuburntrailTool/StatusCommand.cpp
@@ -54,7 +54,8 @@
 
 void addStatusCommand(CLI::App &app, Context &context)
 {
-    app.add_subcommand("status", "show the state of the gateways given; 4 when none is ready")
+    app.add_subcommand("status",
+                       "show the state of the given gateways; exit code 4 if none is ready")
             ->callback([&context] { context.exitCode = showStatus(context); });
 }
 
--- a/Source/AuburntrailTool/SubmitCommand.cpp
+++ b/Source/AuburntrailTool/SubmitCommand.cpp
@@ -35,7 +35,7 @@
     }
 }
 
-/// --tasks repeats the payloads given until there are as many.
+/// Creates the job's tasks. --tasks repeats the given payloads until there are that many tasks.
 Json tasksOf(const SubmitOptions &options)
 {
     const std::vector<std::string> payloads =
@@ -71,7 +71,7 @@
     if (!job.contains("tasks") || !options.payloads.empty() || options.tasks != 0) {
         job["tasks"] = tasksOf(options);
     }
-    // Both are needed to resubmit, so an id made here is never sent without its time.
+    // A resubmission needs both, so an id generated here is always sent with its time.
     if (!job.contains("id")) {
         Common::Random random = Common::makeRandom();
         job["id"] = Common::randomId(random);
@@ -85,7 +85,8 @@
 
 ExitCode submit(const Context &context, const SubmitOptions &options, const Json &job)
 {
-    // On standard error before the answer: whoever loses the answer can resubmit.
+    // Printed to standard error before the call, so that an operator who does not receive the
+    // answer can resubmit.
     std::cerr << "submitting id " << plainText(job.at("id")) << " first submitted "
               << plainText(job.at("firstSubmittedMs")) << '\n';
     ApiCall call;
@@ -115,17 +116,17 @@
     auto options = std::make_shared<SubmitOptions>();
     CLI::App *command = app.add_subcommand("submit", "submit a job and wait for its answer");
     command->add_option("--file", options->file,
-                        "YAML or JSON file with the job; the options below overrule it");
-    command->add_option("--id", options->id, "the job's id; made up when absent");
+                        "YAML or JSON file with the job; the options below override it");
+    command->add_option("--id", options->id, "the job's id; generated if absent");
     command->add_option("--first-submitted-ms", options->firstSubmittedMs,
-                        "time of the first submission, for a resubmission; now when absent");
+                        "time of the first submission, for a resubmission; now if absent");
     command->add_option("--team", options->team);
     command->add_option("--caller", options->caller);
     command->add_option("--service", options->service);
     command->add_option("--payload", options->payloads, "payload of a task; may be repeated")
             ->allow_extra_args(false);
     command->add_option("--tasks", options->tasks,
-                        "number of tasks; payloads are repeated until they suffice");
+                        "number of tasks; payloads are repeated to reach it");
     command->add_option("--deadline-in-ms", options->deadlineInMs, "deadline, from now");
     command->add_option("--declared-run-ms", options->declaredRunMs);
     command->add_flag("--idempotent", options->isIdempotent);
--- a/Source/Core/StandIn/ControlJson.h
+++ b/Source/Core/StandIn/ControlJson.h
@@ -6,8 +6,9 @@
 
 namespace StandIn {
 
-/// \a current with the members that \a change names set anew. Fails with Reason::Malformed where a
-/// member is unknown, of another type or negative.
+/// Returns \a current with the members that \a change contains replaced. Fails with
+/// Reason::Malformed if \a change is not an object, or if a member is unknown, has another type or
+/// is negative.
 Common::Outcome<nlohmann::json> mergeControl(nlohmann::json current, const nlohmann::json &change);
 
 } // namespace StandIn
--- a/Source/Core/StandIn/DaemonProcess.cpp
+++ b/Source/Core/StandIn/DaemonProcess.cpp
@@ -26,7 +26,7 @@
     constexpr int MaxThreads = 64;
     app.add_option("--host", options.host, "IP address to listen on")->capture_default_str();
     app.add_option("--port", options.port, "port; 0 takes a free one")->capture_default_str();
-    app.add_option("--port-file", options.portFile, "file that gets the port chosen");
+    app.add_option("--port-file", options.portFile, "file to write the chosen port to");
     app.add_option("--threads", options.threads, "threads that serve requests")
             ->check(CLI::Range(1, MaxThreads))
             ->capture_default_str();
--- a/Source/Core/StandIn/DaemonProcess.h
+++ b/Source/Core/StandIn/DaemonProcess.h
@@ -11,7 +11,7 @@
 
 namespace StandIn {
 
-/// What every stand-in daemon takes from its command line.
+/// Command line options that all stand-in daemons share.
 struct DaemonOptions
 {
     std::string host = "127.0.0.1";
@@ -23,20 +23,22 @@
 
 void addDaemonOptions(CLI::App &app, DaemonOptions &options);
 
-/// Keeps SIGTERM and SIGINT for waitForStop(). Called before any thread is started: threads inherit
-/// the mask, and none of them may take the signal instead.
+/// Blocks SIGTERM and SIGINT, so that only waitForStop() receives them. Must be called before any
+/// thread is started: threads inherit the signal mask, and one that doesn't block the signals could
+/// receive them instead.
 void blockStopSignals();
-/// Returns when the process is told to stop.
+/// Waits for SIGTERM or SIGINT.
 void waitForStop();
-/// Writes the line "http=PORT" to \a path, whole or not at all, for the script that waits for it.
-/// An empty \a path writes nothing. Throws std::runtime_error where it can't be written.
+/// Writes the line "http=PORT" to \a path atomically, for the script that waits for it. Does
+/// nothing if \a path is empty. Throws std::runtime_error if the file can't be written.
 void writePortFile(const std::string &path, std::uint16_t port);
 
-/// Serves with what \a build makes until the process is told to stop.
+/// Runs the server that \a build returns until the process receives SIGTERM or SIGINT.
 template <typename Build>
 void runDaemon(const char *name, const DaemonOptions &options, Build build)
 {
-    // Logging has a thread of its own, which would take the signal and end the process by it.
+    // Signals are blocked before logging starts its thread, which would otherwise receive the stop
+    // signal; the signal's default action ends the process.
     blockStopSignals();
     Common::startLogging(name, options.logLevel);
     const auto server = build();
--- a/Source/Core/StandIn/FakeBackendServer.cpp
+++ b/Source/Core/StandIn/FakeBackendServer.cpp
@@ -48,14 +48,14 @@
     }
 }
 
-/// A request that a silent server does not answer yet, with what it will answer.
+/// A request that a silent server has not answered yet, and the answer it gets later.
 struct WithheldAnswer
 {
     Net::HttpReply reply;
     Net::HttpResponse response;
 };
 
-/// A task that runs until hanging is switched off.
+/// A task that runs until the fault "hang" is switched off.
 struct HangingTask
 {
     FakeTask task;
@@ -114,7 +114,7 @@
                                                   const Net::HttpReply &reply)
 {
     if (this->backend.control.silent) {
-        // Answered when the silence ends, truthfully: nothing was started.
+        // No task is started. The refusal is sent when the fault "silent" is switched off.
         ++this->backend.refusedAll;
         this->answer(reply, refusal(RunStatus::Refused));
         return;
--- a/Source/Core/StandIn/FakeBackendServer.h
+++ b/Source/Core/StandIn/FakeBackendServer.h
@@ -9,15 +9,15 @@
 
 namespace StandIn {
 
-/// The stand-in backend server over HTTP, on threads of its own:
+/// HTTP interface of the stand-in backend server, served on its own threads:
 ///   POST /run              a Schema::RunTask -> 200 with {"result":"..."} after the run time;
-///                          500 task_failed: it ran and failed; 412 not_after_passed, 503 no_slot
-///                          or backend_refused, 400 malformed: nothing was started
-///   GET  /health           200 while it takes work
-///   POST /control, GET /control   faults and size, see FakeBackendControl
-///   GET  /control/stats    counts, and every task that started twice
+///                          500 task_failed: it ran and failed; 412 not_after_passed, 503 no_slot,
+///                          no_resources or backend_refused, 400 malformed: nothing was started
+///   GET  /health           200, or 503 while the fault "unhealthy" is on
+///   POST /control, GET /control   faults and capacity, see FakeBackendControl
+///   GET  /control/stats    counters, and every task that started more than once
 ///   GET  /control/starts   every task that started
-/// The body of each answer but 200 is {"reason":"..."}.
+/// The body of each answer other than 200 is {"reason":"..."}, with a "detail" where there is one.
 class FakeBackendServer
 {
 public:
@@ -45,7 +45,7 @@
     FakeBackendServerBuilder &listenOn(std::string host, std::uint16_t port);
     FakeBackendServerBuilder &threads(int count);
     FakeBackendServerBuilder &control(const FakeBackendControl &control);
-    /// Listens and serves. Throws std::runtime_error where the address cannot be had.
+    /// Starts listening and serving. Throws std::runtime_error if the address can't be bound.
     std::unique_ptr<FakeBackendServer> build();
 
 private:
--- a/Source/Core/StandIn/FakeBackendState.cpp
+++ b/Source/Core/StandIn/FakeBackendState.cpp
@@ -96,8 +96,9 @@
         ++backend.refusedAll;
         return RunStatus::Refused;
     }
-    // The agent checks its lease before it sends the task; a pause in between could let a fenced
-    // start through. Agent and backend server share a clock, so this check closes the gap.
+    // The agent checks its lease before it sends the task. If it is paused in between, the start
+    // could arrive after the agent was fenced. Agent and backend server share a clock, so this
+    // check refuses such a start.
     if (wallMs > task.notAfterMs) {
         ++backend.refusedNotAfter;
         return RunStatus::NotAfterPassed;
--- a/Source/Core/StandIn/FakeBackendState.h
+++ b/Source/Core/StandIn/FakeBackendState.h
@@ -8,10 +8,10 @@
 
 #include "Common/Common.h"
 
-/// State of the stand-in for a backend server, without network or clock.
+/// State of the stand-in backend server, without network access or a clock.
 namespace StandIn {
 
-/// Faults and size, changed while the server runs.
+/// Faults and capacity. They can be changed while the server runs.
 struct FakeBackendControl
 {
     /// A task of 100 ms takes 50 ms at speed 2.
@@ -19,24 +19,26 @@
     std::int64_t slots = 8;
     std::int64_t memoryMb = 262'144;
     std::int64_t accelerators = 0;
-    /// Every task starts and fails at once.
+    /// Every task starts and fails immediately.
     bool failAll = false;
-    /// Tasks start, but do not end until this is switched off again.
+    /// Tasks start, but do not end until this is switched off.
     bool hang = false;
-    /// Every task is refused, and nothing starts.
+    /// Every task is refused without being started.
     bool refuseAll = false;
-    /// No request is answered and nothing starts. Tasks that run go on; their answers are late.
+    /// Answers to /run and /health are withheld until this is switched off, and no task starts.
+    /// Tasks that are already running continue.
     bool silent = false;
     /// /health answers 503.
     bool unhealthy = false;
 };
 
 nlohmann::json controlJson(const FakeBackendControl &control);
-/// \a control with the members of \a change set.
+/// Returns \a control with the members of \a change applied. Fails with Reason::Malformed if one is
+/// unknown or has an invalid value.
 Common::Outcome<FakeBackendControl> changedControl(const FakeBackendControl &control,
                                                    const nlohmann::json &change);
 
-/// What a task's payload asks for.
+/// Run time, result and resources that a task's payload asks for.
 struct FakeTask
 {
     double runMs = 0;
@@ -46,13 +48,14 @@
     std::int64_t accelerators = 0;
 };
 
-/// Reads a payload {"runMs":N,"result":"...","fail":bool,"memoryMb":N,"accelerators":N}; every
-/// member may be absent.
+/// Parses a payload {"runMs":N,"result":"...","fail":bool,"memoryMb":N,"accelerators":N}. Every
+/// member is optional. Fails with Reason::Malformed if it is not such an object.
 Common::Outcome<FakeTask> parsePayload(const std::string &payload);
 
 enum class RunStatus { Started, NoSlot, NotAfterPassed, Refused, NoResources };
 
-/// All starts of one task: more than one breaks the promise the project is built on.
+/// All starts of one task. More than one violates the guarantee that a task is started at most
+/// once, on which the project is built.
 struct TaskStarts
 {
     std::string job;
@@ -65,7 +68,7 @@
 struct FakeBackend
 {
     FakeBackendControl control;
-    /// By job and index.
+    /// Keyed by job and task index.
     std::unordered_map<std::string, TaskStarts> tasks;
     std::int64_t running = 0;
     std::int64_t usedMemoryMb = 0;
@@ -80,14 +83,15 @@
     std::int64_t refusedNoResources = 0;
 };
 
-/// Starts the task and records the start, or refuses with nothing started.
+/// Starts the task and records the start, or refuses the task without starting it. \a wallMs is the
+/// current time.
 RunStatus startTask(FakeBackend &backend, const Schema::RunTask &task, const FakeTask &fake,
                     std::int64_t wallMs);
 void endTask(FakeBackend &backend, const FakeTask &fake, bool hasFailed);
-/// How long the task takes on this server.
+/// Run time of the task on this server, in milliseconds.
 double runTimeMs(const FakeBackendControl &control, const FakeTask &task);
 nlohmann::json backendStats(const FakeBackend &backend);
-/// Every task that ever started, with its number of starts.
+/// All tasks that have been started, each with its number of starts.
 nlohmann::json backendStarts(const FakeBackend &backend);
 
 } // namespace StandIn
--- a/Source/Core/StandIn/FakeLogServer.cpp
+++ b/Source/Core/StandIn/FakeLogServer.cpp
@@ -20,7 +20,8 @@
 constexpr std::int64_t DefaultReadRecords = 500;
 constexpr std::int64_t MaxReadRecords = 5000;
 constexpr std::int64_t MaxWaitMs = 60000;
-/// How long a request that gets no answer is kept: longer than any client waits.
+/// Time after which a request without an answer is ended with status 500: longer than any client's
+/// timeout.
 constexpr milliseconds HoldTime(120000);
 
 std::int64_t steadyNow()
@@ -92,7 +93,7 @@
     return response;
 }
 
-/// A read at the end of its stream, waiting for the next record.
+/// A long poll at the end of its stream that waits for the next record.
 struct WaitingRead
 {
     ReadRequest read;
@@ -224,7 +225,7 @@
     const std::int64_t first = commitAppend(this->log, stream, std::move(records), steadyNow());
     this->wakeReads(stream);
     const FakeLogControl &control = this->log.control;
-    // An outage that began while the write was under way takes the answer with it.
+    // If an outage began during the write, the write has taken effect but its answer is lost.
     if (!control.outage && !losesAnswer(this->log)) {
         this->answer(reply, jsonResponse({{"offset", first}, {"next", first + count}}));
         return;
--- a/Source/Core/StandIn/FakeLogServer.h
+++ b/Source/Core/StandIn/FakeLogServer.h
@@ -9,7 +9,7 @@
 
 namespace StandIn {
 
-/// The stand-in log service over HTTP, on threads of its own:
+/// HTTP interface of the stand-in log service, served on its own threads:
 ///   POST /streams/{name}/append            array of records -> {"offset":first,"next":n}
 ///   GET  /streams/{name}/read?from=&max=&waitMs=  long poll -> {"entries","next","oldest","end"}
 ///   POST /control, GET /control            faults, see FakeLogControl
@@ -41,7 +41,7 @@
     FakeLogServerBuilder &threads(int count);
     FakeLogServerBuilder &seed(std::uint64_t value);
     FakeLogServerBuilder &control(const FakeLogControl &control);
-    /// Listens and serves. Throws std::runtime_error where the address cannot be had.
+    /// Starts listening and serving. Throws std::runtime_error if the address can't be bound.
     std::unique_ptr<FakeLogServer> build();
 
 private:
--- a/Source/Core/StandIn/FakeLogState.h
+++ b/Source/Core/StandIn/FakeLogState.h
@@ -9,33 +9,37 @@
 
 #include "Common/Common.h"
 
-/// State of the stand-in for the platform's log service, without network or clock.
+/// State of the stand-in for the platform's log service, without network access or a clock.
 namespace StandIn {
 
-/// What a request meets during an outage: status 503 at once, or no answer.
+/// How a request is answered during an outage: with status 503 immediately, or not within any
+/// client's timeout.
 enum class OutageMode { Refuse, Hang };
 
-/// What the client of a lost answer sees: status 500, or no answer.
+/// How an append whose answer is lost ends for the client: with status 500, or without an answer
+/// within any client's timeout.
 enum class LostAnswer { Error, Hang };
 
-/// Faults and limits, changed while the service runs.
+/// Faults and limits. They can be changed while the service runs.
 struct FakeLogControl
 {
     bool outage = false;
     OutageMode outageMode = OutageMode::Refuse;
-    /// Added to each answer, after the write has taken effect.
+    /// Delays the answers to reads and to admitted appends. An append takes effect before the
+    /// delay.
     std::int64_t delayMs = 0;
-    /// Share of appends that are written, but whose answer is lost.
+    /// Fraction of appends that are written although their answer is lost.
     double loseAnswers = 0;
     LostAnswer lostAnswer = LostAnswer::Error;
     std::int64_t appendsPerSecond = 400;
     std::int64_t retentionMs = 3600000;
-    /// What a synced write takes.
+    /// Time that a synced write takes.
     std::int64_t syncMs = 4;
 };
 
 nlohmann::json controlJson(const FakeLogControl &control);
-/// \a control with the members of \a change set.
+/// Returns \a control with the members of \a change applied. Fails with Reason::Malformed if one is
+/// unknown or has an invalid value.
 Common::Outcome<FakeLogControl> changedControl(const FakeLogControl &control,
                                                const nlohmann::json &change);
 
@@ -48,7 +52,7 @@
 struct FakeLogStream
 {
     std::deque<FakeLogEntry> entries;
-    /// Offset of the first entry that retention has left.
+    /// Offset of the oldest entry that is still retained.
     std::int64_t oldest = 0;
     std::int64_t appends = 0;
     std::int64_t records = 0;
@@ -69,7 +73,7 @@
 
 struct FakeLogBatch
 {
-    /// Records as JSON texts, the first of which has the offset \a first.
+    /// Records as JSON text. The first of them has the offset \a first.
     std::vector<std::string> records;
     std::int64_t first = 0;
     std::int64_t next = 0;
@@ -77,20 +81,22 @@
     bool atEnd = true;
 };
 
-/// False where this append would exceed the limit of appends a second.
+/// Counts an append against the limit of appends per second. Returns false if it would exceed the
+/// limit.
 bool admitAppend(FakeLog &log, std::int64_t nowMs);
-/// When an append admitted now takes effect. Never before an earlier one, also where syncMs has
-/// been lowered since: offsets follow the order of admission.
+/// Time at which an append admitted now takes effect. It is never before that of an earlier append,
+/// even if syncMs was lowered in between, so that offsets follow the order of admission.
 std::int64_t commitTime(FakeLog &log, std::int64_t nowMs);
-/// Writes \a records and returns the offset of the first.
+/// Writes \a records and returns the offset of the first one.
 std::int64_t commitAppend(FakeLog &log, const std::string &stream, std::vector<std::string> records,
                           std::int64_t nowMs);
-/// Draws whether the answer to an append that took effect is lost.
+/// Draws at random whether the answer to an append that took effect is lost.
 bool losesAnswer(FakeLog &log);
-/// At most \a maximum records from offset \a from on, or from the oldest one left.
+/// Reads at most \a maximum records, beginning at offset \a from or at the oldest record still
+/// retained.
 FakeLogBatch readStream(FakeLog &log, const std::string &stream, std::int64_t from,
                         std::int64_t maximum, std::int64_t nowMs);
-/// Body of the answer to a read.
+/// Body of the answer to a read, as JSON.
 std::string batchJson(const FakeLogBatch &batch);
 nlohmann::json logStats(const FakeLog &log);
 
--- a/Source/Core/StandIn/Replies.h
+++ b/Source/Core/StandIn/Replies.h
@@ -19,9 +19,11 @@
 } // namespace HttpStatus
 
 Net::HttpResponse jsonResponse(const nlohmann::json &body);
-/// A refusal or failure, with a body {"reason":"...","detail":"..."}.
+/// Response for a refusal or failure, with the body {"reason":"...","detail":"..."}; an empty
+/// detail is omitted.
 Net::HttpResponse reasonResponse(int status, std::string_view reason, std::string_view detail = {});
-/// The non-negative number in query member \a key, or \a fallback where it is absent.
+/// Returns the query parameter \a key as a non-negative number, or \a fallback if it is absent.
+/// Fails with Reason::Malformed if it is not such a number.
 Common::Outcome<std::int64_t> queryNumber(const Net::HttpRequest &request, const std::string &key,
                                           std::int64_t fallback);
 
--- a/Source/Core/StandIn/StandIn.h
+++ b/Source/Core/StandIn/StandIn.h
@@ -6,5 +6,5 @@
 #include "StandIn/FakeLogServer.h"
 #include "StandIn/FakeLogState.h"
 
-/// Public header of the standin library: the project's own log service and backend server, which
-/// take the platform's place in tests and demos, with faults that can be switched on.
+/// Public header of the standin library: a log service and a backend server that replace those of
+/// the platform in tests and demos, with faults that can be switched on.
