--- a/Source/UnitTests/Net/PeerHubTest.cpp
+++ b/Source/UnitTests/Net/PeerHubTest.cpp
@@ -216,10 +216,10 @@
         isStalled = false;
     }
     changed.notify_all();
-    bool isTakenAgain = false;
-    for (int attempt = 0; attempt < 2000 && !isTakenAgain; ++attempt) {
-        isTakenAgain = sender.hub.send(link, large);
+    bool isAcceptedAgain = false;
+    for (int attempt = 0; attempt < 2000 && !isAcceptedAgain; ++attempt) {
+        isAcceptedAgain = sender.hub.send(link, large);
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    CHECK(isTakenAgain);
+    CHECK(isAcceptedAgain);
 }
