--- a/Source/UnitTests/Daemon/StopSignalTest.cpp
+++ b/Source/UnitTests/Daemon/StopSignalTest.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A folder for one test's files, removed at its end.
+/// A temporary folder that is removed with this object.
 struct Folder
 {
     Folder()
@@ -44,7 +44,8 @@
     return text.str();
 }
 
-/// Starts \a program in transient mode with \a settings; its output goes to \a log.
+/// Starts \a program in transient mode with the settings file \a settings. Its output goes to \a
+/// log.
 pid_t startProgram(const char *program, const std::string &settings, const std::string &ports,
                    const std::string &log)
 {
@@ -65,7 +66,8 @@
     return id;
 }
 
-/// Its wait status; it is killed where it does not end within a generous time.
+/// Waits for the process and returns its wait status. The process is killed if it has not ended
+/// after 30 s.
 int waitForExit(pid_t id)
 {
     constexpr int Rounds = 3000;
@@ -106,11 +108,11 @@
 
 } // namespace
 
-TEST_CASE("A program that is told to stop ends by its own decision")
+TEST_CASE("A program stops gracefully on SIGTERM and continues on SIGHUP")
 {
-    // Callers lose every request in progress when a gateway is replaced: SIGTERM ends the process
-    // at once, since a thread that was started before the signals were blocked takes it and does
-    // what is usual. The log has no line of the stop. SIGHUP must not end it at all.
+    // A thread that was started before the signals were blocked receives SIGTERM, whose default
+    // action ends the process at once. Callers then lose every request in progress when a gateway
+    // is replaced, and the log has no line about the stop. SIGHUP must not end the process at all.
     struct Row
     {
         const char *what;
--- a/Source/UnitTests/Net/CodecTest.cpp
+++ b/Source/UnitTests/Net/CodecTest.cpp
@@ -30,7 +30,7 @@
     return frame;
 }
 
-/// The reason a frame is turned away with, or None where it is taken.
+/// Reason with which a frame is refused, or None if it is accepted.
 Schema::Reason refusalOf(const std::string &bytes)
 {
     return Common::handle(
@@ -103,7 +103,7 @@
             {"not a number", cborOf({{"type", "gateway_pong"}, {"gatewayPong", notANumber}}),
              Schema::Reason::Malformed},
             {"not an object", cborOf(Json::array({1, 2})), Schema::Reason::Malformed},
-            // These overflow the stack of a decoder that descends once for each byte.
+            // Deep nesting: a decoder that recurses once per byte overflows its stack.
             {"deep arrays", std::string(DeepBytes, '\x81'), Schema::Reason::Malformed},
             {"deep chunks", std::string(DeepBytes, '\x7f'), Schema::Reason::Malformed},
             {"deep tags", std::string(DeepBytes, '\xc1'), Schema::Reason::Malformed},
--- a/Source/UnitTests/Net/HttpDisconnectTest.cpp
+++ b/Source/UnitTests/Net/HttpDisconnectTest.cpp
@@ -23,7 +23,7 @@
 
 using Socket = boost::asio::ip::tcp::socket;
 
-/// The reply to the caller that is about to leave, and the thread that sends it meanwhile.
+/// Holds the reply for a caller that is about to disconnect, and sends it on a thread of its own.
 class Replier
 {
 public:
@@ -80,7 +80,7 @@
     boost::asio::write(socket, boost::asio::buffer(request));
 }
 
-/// Stops one thread at a point of its own until another one lets it go on.
+/// Blocks a thread in waitForRelease() until another thread calls release().
 class ThreadGate
 {
 public:
@@ -98,7 +98,8 @@
     std::promise<void> released;
 };
 
-/// Number of the socket on which the server has accepted \a caller; -1 while it has not.
+/// Returns the descriptor of the socket on which the server accepted \a caller, or -1 if it has not
+/// accepted it yet. Client and server are in the same process.
 int acceptedSocket(const Socket &caller)
 {
     constexpr int MaxSockets = 1024;
@@ -115,7 +116,8 @@
     return -1;
 }
 
-/// Returns once the server's listening thread has passed the caller on.
+/// Waits until the server has accepted \a caller, and some time longer for its listening thread to
+/// hand the connection over. Returns the descriptor of the accepted socket.
 int waitUntilAccepted(const Socket &caller)
 {
     constexpr std::chrono::milliseconds HandoverTime{20};
@@ -126,7 +128,8 @@
     return acceptedSocket(caller);
 }
 
-/// Takes all numbers below \a number that are free, so that the next one to be free is reused next.
+/// Occupies all free descriptors below \a number, so that the next descriptor to be closed is the
+/// next one to be reused.
 class ReservedDescriptors
 {
 public:
@@ -151,7 +154,7 @@
     std::vector<int> numbers;
 };
 
-/// Bytes that reach a caller which has asked nothing.
+/// Returns the number of bytes that reach a caller which has sent no request.
 std::size_t unexpectedBytes(Socket &caller)
 {
     constexpr std::chrono::milliseconds ObservationTime{100};
@@ -161,10 +164,11 @@
 
 } // namespace
 
-TEST_CASE("A socket number that is reused between an answer and its writing misleads no answer")
+TEST_CASE("An answer reaches no later caller that reuses the socket number before it is written")
 {
-    // The answer is handed over while the server takes in that its caller has left; before it is
-    // written, the next caller is accepted under the number of the same socket.
+    // An answer is handed over while the server processes the disconnection of its caller. Before
+    // the answer is written, the next caller is accepted on the same socket number and must not get
+    // it.
     ThreadGate first;
     ThreadGate leaving;
     ThreadGate second;
@@ -178,7 +182,7 @@
                     .threads(1)
                     .handler([&](const Net::HttpRequest &request, const Net::HttpReply &reply) {
                         {
-                            // None is dropped here: that would answer it.
+                            // Keeps every reply: dropping one would send an answer.
                             const std::lock_guard<std::mutex> lock(mutex);
                             replies.emplace(request.path, reply);
                         }
@@ -210,13 +214,14 @@
     first.waitUntilReached();
     const int number = acceptedSocket(leavingCaller);
     const ReservedDescriptors reservedDescriptors(number);
-    // In one turn the server finds that the leaver has gone, then a request that halts it.
+    // In one iteration of its loop the server detects the disconnection first, then the request
+    // that blocks it.
     leavingCaller.shutdown(Socket::shutdown_both);
     const std::string request = "GET /second HTTP/1.1\r\nHost: a.example\r\n\r\n";
     boost::asio::write(blocker, boost::asio::buffer(request));
     first.release();
     leaving.waitUntilReached();
-    // New callers are noticed before new answers: this one is there first.
+    // New connections are processed before new answers, so this one is processed first.
     early.connect({boost::asio::ip::address_v4::loopback(), server->port()});
     waitUntilAccepted(early);
     replies.at("/leave").send({200, "for the caller that has left", "text/plain", 0, false});
@@ -231,8 +236,8 @@
 
 TEST_CASE("What is left of an answer to a caller that has left reaches no other caller")
 {
-    // The caller leaves with most of its answer unread; the rest must not go to the next caller
-    // under the number of its socket.
+    // A caller disconnects with most of its answer unread. The rest must not go to the next caller,
+    // which is accepted on the same socket number.
     std::promise<Net::HttpReply> receivedReply;
     std::atomic<bool> isGone = false;
     const auto server =
@@ -255,7 +260,7 @@
     }
     const int number = acceptedSocket(leavingCaller);
     const ReservedDescriptors reservedDescriptors(number);
-    // With answers unread this resets the connection.
+    // Closing a socket with unread data resets the connection.
     leavingCaller.close();
     const ReservedDescriptors leavingCallerNumber(0);
     while (!isGone || ::fcntl(number, F_GETFD) != -1) {
@@ -268,7 +273,8 @@
 
 TEST_CASE("A caller that does not read its answer holds up no other caller" * doctest::skip())
 {
-    // The thread tries again and again to write the rest, and serves nobody else.
+    // The server's only thread retries writing the rest of the answer, and serves no other caller
+    // meanwhile.
     constexpr std::size_t MoreThanBuffers = std::size_t{16} << 20U;
     constexpr std::chrono::seconds MaxWait{2};
     const auto server =
@@ -297,7 +303,7 @@
 
 TEST_CASE("A connection ends on the thread that takes its requests")
 {
-    // Only there may its queue of answers be emptied.
+    // The connection's queue of answers may be emptied only on that thread.
     constexpr int Connections = 24;
     std::mutex mutex;
     std::map<std::uint64_t, std::thread::id> requestThreads;
@@ -336,8 +342,8 @@
 
 TEST_CASE("An answer to a caller that has left reaches no other caller")
 {
-    // A caller closes its connection while its answer is handed over; the next caller gets the
-    // same socket number at the server, and must not read what it never asked for.
+    // A caller closes its connection while its answer is handed over. The next caller gets the same
+    // socket number at the server, and must not receive that answer.
     constexpr int Rounds = 3000;
     Replier replier;
     std::mutex mutex;
--- a/Source/UnitTests/Net/HttpTest.cpp
+++ b/Source/UnitTests/Net/HttpTest.cpp
@@ -39,7 +39,7 @@
     return call;
 }
 
-/// A port that was free a moment ago.
+/// Returns a port on which a server was listening a moment ago and no longer is.
 std::uint16_t closedPort()
 {
     return serve([](const Net::HttpRequest &, const Net::HttpReply &) {})->port();
@@ -193,8 +193,8 @@
 
 TEST_CASE("An answer that ends its connection says so")
 {
-    // A gateway that stops answers on connections that its callers would go on using. One that is
-    // not told sends its next request into a connection that nobody reads any more.
+    // A stopping gateway answers on connections that its callers would reuse. Without
+    // "Connection: Close", a caller sends its next request on a connection that is no longer read.
     const auto server = serve([](const Net::HttpRequest &, const Net::HttpReply &reply) {
         reply.send({200, "bye", "text/plain", 0, true});
     });
@@ -303,7 +303,7 @@
 TEST_CASE("Stopping waits for answers that are on their way")
 {
     // A caller waits for its answer while the gateway stops. The answer is handed over just before
-    // stop(): it must still reach the caller, whole, though the threads that write it end next.
+    // stop(), and must still reach the caller completely before the threads that write it end.
     const std::string body(1U << 20U, 'a');
     for (int round = 0; round < 10; ++round) {
         std::mutex mutex;
@@ -330,11 +330,11 @@
     }
 }
 
-TEST_CASE("An answer to a caller that has gone holds no stop up")
+TEST_CASE("An answer to a caller that has disconnected does not delay a stop")
 {
-    // Callers close their connections just as their answers are written. The answers are dropped
-    // with the connections; counted as unwritten for ever, they would make the server's stop wait
-    // for nothing, and the process outlast the time it is given.
+    // Callers close their connections while their answers are being written. The answers are
+    // dropped with the connections. If they stayed counted as unwritten, the server's stop would
+    // wait for them in vain, and the process would exceed the time it has for stopping.
     constexpr int Callers = 40;
     constexpr int Rounds = 3000;
     constexpr std::chrono::milliseconds Pause{10};
@@ -372,8 +372,8 @@
 
 TEST_CASE("A reply may outlive its caller and its server")
 {
-    // The caller gives up and closes; later the server stops, and only then the job's answer is
-    // sent: both must be without effect, since there is nobody to take it.
+    // Replies are sent after their caller has timed out and disconnected, and after the server has
+    // stopped. Both must have no effect.
     std::mutex mutex;
     std::vector<Net::HttpReply> pendingReplies;
     const auto server = serve([&](const Net::HttpRequest &, const Net::HttpReply &reply) {
@@ -441,9 +441,9 @@
 
 TEST_CASE("A POST on a kept connection reaches a server that closes it exactly once")
 {
-    // A server answers one POST, reads a second on the same connection, acts on it and dies without
-    // an answer. curl by itself would open a new connection and send the POST again: a crew
-    // dispatched twice. The caller of the client must learn that the call is lost instead.
+    // A server answers one POST, reads a second one on the same connection, executes it and closes
+    // the connection without an answer. By default curl would open a new connection and send the
+    // POST again, so that a crew is dispatched twice. The call must end as Lost instead.
     std::atomic<int> seen = 0;
     RawServer server([&seen](RawServer::Socket &socket, int number) {
         if (RawServer::readRequest(socket).empty()) {
@@ -455,7 +455,7 @@
             seen += RawServer::readRequest(socket).empty() ? 0 : 1;
             return;
         }
-        // The next call must not meet this connection as it closes.
+        // Keeps the connection open, so that the next call does not use it while it is closing.
         while (!RawServer::readRequest(socket).empty()) {
             RawServer::write(socket, RawAnswer);
         }
@@ -498,9 +498,9 @@
 
 TEST_CASE("One timeout is enough to leave all connections that have gone silent")
 {
-    // A firewall forgets two open connections of the client; new ones work. The first call on one
-    // of them costs its timeout. The next must not cost another on the second connection: the
-    // client takes a new one, also once the timeout lies some seconds back.
+    // A firewall drops its state of two open connections of the client; new connections work. The
+    // first call on one of the two times out. The next call must not time out on the other one: the
+    // client opens a new connection, even if the timeout was some seconds ago.
     Latch bothOpen(2);
     std::atomic<int> answered = 0;
     RawServer server([&](RawServer::Socket &socket, int number) {
@@ -539,8 +539,8 @@
 
 TEST_CASE("Calls that wait for a connection end in time, too")
 {
-    // The server never answers and the client may use one connection. The second call waits behind
-    // the first; its own timeout passes there, and as it was never sent it is NotConnected.
+    // The server never answers and the client may use one connection. The second call waits for the
+    // first, and must end by its own timeout even if it was never sent.
     RawServer server([](RawServer::Socket &socket, int) {
         while (!RawServer::readRequest(socket).empty()) {
         }
@@ -561,7 +561,7 @@
     CHECK(results[1].transport != HttpTransport::Answered);
 }
 
-TEST_CASE("Calls outstanding at the client's end are told so")
+TEST_CASE("Calls that are pending when the client is destroyed end without an answer")
 {
     RawServer server([](RawServer::Socket &socket, int) {
         while (!RawServer::readRequest(socket).empty()) {
--- a/Source/UnitTests/Net/PeerHubTest.cpp
+++ b/Source/UnitTests/Net/PeerHubTest.cpp
@@ -47,7 +47,7 @@
     std::vector<Net::LinkId> closedLinks;
     std::vector<Schema::Frame> frames;
     Net::LinkId lastSender = 0;
-    /// Last, so that its thread ends before what it records into.
+    /// Declared last, so that its thread ends before the members it records into are destroyed.
     Net::PeerHub hub;
 
 private:
@@ -146,8 +146,8 @@
 
 TEST_CASE("An attempt that does not become a link ends in time")
 {
-    // The other end accepts the TCP connection and says nothing, or is not there at all. The hub's
-    // user learns it by one closed event, and may try again.
+    // The other end accepts the TCP connection and sends nothing, or does not listen at all. The
+    // hub must report it with one closed event, after which its user may try again.
     RawServer silent([](RawServer::Socket &socket, int) {
         RawServer::readRequest(socket);
         RawServer::readRequest(socket);
@@ -168,8 +168,8 @@
 
 TEST_CASE("A malformed frame closes its link, is counted, and harms no other")
 {
-    // A WebSocket client that speaks no CBOR reaches the port of the hub. Its link is closed; the
-    // link of a well-behaved process goes on.
+    // A WebSocket client that does not send CBOR connects to the hub. Its link is closed, while the
+    // link of a correct process stays open.
     Pair pair;
     const std::string handshake = "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\n"
                                   "Connection: Upgrade\r\nSec-WebSocket-Version: 13\r\n"
@@ -188,8 +188,8 @@
 
 TEST_CASE("A link whose peer reads nothing refuses frames past the bound, and takes them again")
 {
-    // An agent's machine stalls: its connection takes nothing more. The gateway goes on sending to
-    // it. Without a bound its memory grows until the gateway dies, with all its shards.
+    // An agent's machine stalls and reads nothing more, while the gateway keeps sending to it.
+    // Without a bound the gateway's memory would grow until it crashes, with all its shards.
     std::mutex mutex;
     std::condition_variable changed;
     bool isStalled = true;
--- a/Source/UnitTests/Net/RawServer.cpp
+++ b/Source/UnitTests/Net/RawServer.cpp
@@ -15,7 +15,7 @@
 
 RawServer::~RawServer()
 {
-    // A connection of our own ends the accept that the thread waits in.
+    // This connection ends the blocking accept() of the thread.
     tcp::socket last(this->context);
     boost::system::error_code ignored;
     const tcp::endpoint endpoint = this->acceptor.local_endpoint();
@@ -82,7 +82,8 @@
     boost::asio::io_context context;
     tcp::socket socket(context);
     socket.connect({boost::asio::ip::address_v4::loopback(), port});
-    // A server that never answers must fail the test rather than hang it.
+    // Limits the wait for an answer, so that a server that never answers fails the test instead of
+    // blocking it.
     const timeval receiveTimeout{5, 0};
     ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &receiveTimeout,
                  sizeof receiveTimeout);
--- a/Source/UnitTests/Net/RawServer.h
+++ b/Source/UnitTests/Net/RawServer.h
@@ -9,27 +9,30 @@
 #include <thread>
 #include <vector>
 
-/// A TCP server that misbehaves as a test asks. Each connection has a thread.
+/// A TCP server whose behaviour, including misbehaviour, is defined by the test. Each connection
+/// has a thread.
 class RawServer
 {
 public:
     using Socket = boost::asio::ip::tcp::socket;
-    /// \a number counts the connections from 1.
+    /// Handles one connection; connections have a \a number, beginning with 1.
     using Serve = std::function<void(Socket &, int number)>;
 
     explicit RawServer(Serve serve);
-    /// Connections being served must end by themselves.
+    /// Waits until all open connections have been handled.
     ~RawServer();
     RawServer(const RawServer &) = delete;
     RawServer &operator=(const RawServer &) = delete;
 
     std::uint16_t port() const;
 
-    /// Reads one HTTP request with its body; empty when the client has closed.
+    /// Reads one HTTP request with its body. Returns an empty string if the client has closed the
+    /// connection.
     static std::string readRequest(Socket &socket);
     static void write(Socket &socket, const std::string &bytes);
 
-    /// As a client: sends \a request and reads until \a expected has come or the server closes.
+    /// Acts as a client: sends \a request and reads until \a expected was received, the server
+    /// closes the connection, or nothing is received for 5 s.
     static std::string exchange(std::uint16_t port, const std::string &request,
                                 const std::string &expected);
 
--- a/Source/UnitTests/PlatformLog/AppendTest.cpp
+++ b/Source/UnitTests/PlatformLog/AppendTest.cpp
@@ -7,9 +7,9 @@
 
 TEST_CASE("An append's status never claims more than is known")
 {
-    // The caller of a job learns "not run" where its intent was not written. An answer that is lost
-    // after the write, or a service that hangs, must end as Unknown: the records may be there. Only
-    // a refusal proves that they are not.
+    // A caller is answered "not run" if the intent of its job was not written. An append whose
+    // answer is lost after the write, or a service that hangs, must end as Unknown, because the
+    // records may have been written. Only a refusal proves that they were not.
     struct Row
     {
         const char *name;
@@ -76,8 +76,9 @@
 
 TEST_CASE("Stopping ends an append in flight")
 {
-    // A gateway that stops during a hanging outage must not wait for the service: the append ends
-    // as Unknown before stop() returns, and one made afterwards ends at once.
+    // A gateway that stops during a hanging outage must not wait for the service. A pending append
+    // ends before stop() returns, as Unknown or, if it was not sent yet, as Unavailable. An append
+    // that is made afterwards ends as Unavailable.
     const auto server = startFakeLog(R"({"outage":true,"outageMode":"hang"})");
     PlatformLog::LogClientSettings settings = quickSettings(server->url());
     settings.appendTimeoutMs = 60000;
--- a/Source/UnitTests/PlatformLog/FollowTest.cpp
+++ b/Source/UnitTests/PlatformLog/FollowTest.cpp
@@ -32,7 +32,7 @@
     }
 }
 
-TEST_CASE("An empty answer tells that the end was reached")
+TEST_CASE("An empty answer reports that the end was reached")
 {
     const auto server = startFakeLog();
     Delivered delivered;
@@ -46,9 +46,9 @@
 
 TEST_CASE("A follower goes on after an outage without losing or repeating a record")
 {
-    // The log refuses or hangs for some time while a gateway follows it. The gateway learns once
-    // that the log is away, and after the outage gets what was appended meanwhile, in order: reads
-    // go on from the last offset, so nothing is skipped or given twice.
+    // The log refuses, hangs or is too slow for some time while a gateway follows it. The follower
+    // is notified once that the log is unavailable. After the outage it continues at the last
+    // offset, so that no record is skipped or delivered twice.
     struct Row
     {
         const char *name;
@@ -83,9 +83,9 @@
 
 TEST_CASE("A follower learns that retention has dropped what it asked for")
 {
-    // A gateway was away for longer than the log keeps records. Reading on as if nothing were
-    // missing would leave it with an old table; it is told the oldest offset left, and goes on from
-    // there.
+    // A gateway was disconnected for longer than the log retains records. If it continued as if
+    // none were missing, it would keep an old table. Instead it gets the oldest retained offset and
+    // continues there.
     const auto server = startFakeLog();
     PlatformLog::LogClient client(quickSettings(server->url()));
     appendAndWait(client, {"a", "b"});
@@ -102,10 +102,10 @@
     CHECK(delivered.waitForRecords(1) == std::vector<std::string>{"d"});
 }
 
-TEST_CASE("A record that is not ours is skipped")
+TEST_CASE("A record that can't be decoded is skipped")
 {
-    // An operator's tool, or a newer version, wrote something the follower can't read. Stopping
-    // there would cut the gateway off from every later record.
+    // An operator's tool or a newer version wrote a record that the follower can't decode. If it
+    // stopped there, the gateway would get no later record.
     const auto server = startFakeLog();
     Net::HttpClient raw(1);
     Net::HttpCall call;
--- a/Source/UnitTests/PlatformLog/LogFixture.h
+++ b/Source/UnitTests/PlatformLog/LogFixture.h
@@ -9,14 +9,14 @@
 #include "PlatformLog/PlatformLog.h"
 #include "StandIn/StandIn.h"
 
-/// What a follower was given, collected for the test's thread.
+/// Collects the results that a follower receives, for the test's thread.
 class Delivered
 {
 public:
     void add(const PlatformLog::ReadResult &result);
-    /// Waits for a result that is available, or is not.
+    /// Waits until the last result reports that the log is \a available, or that it is not.
     void waitForAvailable(bool available);
-    /// Waits until \a count records were delivered, and returns their ids in order.
+    /// Waits until \a count records were delivered, and returns the ids of all records in order.
     std::vector<std::string> waitForRecords(std::size_t count);
     std::vector<PlatformLog::ReadResult> results() const;
 
@@ -30,10 +30,10 @@
 
 PlatformLog::LogClientSettings quickSettings(const std::string &url);
 std::vector<Schema::LogRecord> makeRecords(const std::vector<std::string> &ids);
-/// Appends and waits for the result.
+/// Appends records and waits for the result.
 PlatformLog::AppendResult appendAndWait(PlatformLog::LogClient &client,
                                         const std::vector<std::string> &ids);
-/// A fake log with the faults that \a change names, in JSON.
+/// Starts a fake log with the settings in \a change, a JSON object.
 std::unique_ptr<StandIn::FakeLogServer> startFakeLog(const char *change = "{}");
 void changeFakeLog(StandIn::FakeLogServer &server, const char *change);
 std::int64_t recordsWritten(const StandIn::FakeLogServer &server);
--- a/Source/UnitTests/Soak/ChecksTest.cpp
+++ b/Source/UnitTests/Soak/ChecksTest.cpp
@@ -228,7 +228,7 @@
         CHECK(Soak::findCutRequests({{}, {row.submitted}, row.faults, {}}, 6000).size()
               == row.findings);
     }
-    // Its task had begun, however short it was.
+    // A request whose task had started counts even if it was lost after a short time.
     const BackendIncarnation incarnation = incarnationOf("backend-1", {runOf(1, 10'450, 10'500)});
     CHECK(Soak::findCutRequests({{incarnation}, {lost(10'400, 10'500)}, {stop}, {}}, 6000).size()
           == 1);
@@ -314,7 +314,7 @@
     CHECK_FALSE(Soak::isServed(mixed, 400, gateways));
 }
 
-TEST_CASE("All promises are looked at together")
+TEST_CASE("All invariants are checked together")
 {
     Records records;
     records.backends = {incarnationOf("backend-1", {runOf(1, 150, 170), runOf(2, 160, 180)})};
--- a/Source/UnitTests/StandIn/FakeBackendTest.cpp
+++ b/Source/UnitTests/StandIn/FakeBackendTest.cpp
@@ -44,7 +44,7 @@
     Net::HttpClient client;
 };
 
-/// Waits until \a server has \a count in its stats under \a key.
+/// Waits until the counter \a key in the stats of \a server is \a count.
 void waitForStat(const StandIn::FakeBackendServer &server, const char *key, std::int64_t count)
 {
     while (server.stats().at(key).get<std::int64_t>() != count) {
@@ -175,11 +175,11 @@
     CHECK(server->stats().at("mostRunning") == 2);
 }
 
-TEST_CASE("A silent server starts nothing, and its late answers are true")
+TEST_CASE("A silent server starts nothing, and its late answers are correct")
 {
-    // The agent sees a request that hangs: a task already running, and one sent into the silence.
-    // When the silence ends, the first has run and says so; the second has never started, and a
-    // client that still waits learns just that.
+    // Two requests of an agent hang: that of a task which is already running, and one that is sent
+    // while the server is silent. When the silence ends, the first task has run and is answered as
+    // completed. The second was never started and must be answered as refused.
     StandIn::FakeBackendControl control;
     const auto server = StandIn::FakeBackendServerBuilder().control(control).build();
     BackendClient client(*server);
--- a/Source/UnitTests/Tool/BenchTest.cpp
+++ b/Source/UnitTests/Tool/BenchTest.cpp
@@ -24,7 +24,7 @@
                {"mostRunMs", 40}}}}};
 }
 
-/// What is wrong with \a json, or nothing.
+/// Returns the error in \a json, or an empty string.
 std::string errorOf(const Json &json)
 {
     return Common::handle(
@@ -151,7 +151,7 @@
     CHECK(Tool::quantilesOf({}).max == 0);
 }
 
-TEST_CASE("A report tells what callers received")
+TEST_CASE("A report summarizes the answers that callers received")
 {
     const Tool::JobRecord good{30, 0, "completed", "none", false, false};
     const Tool::JobRecord wrong{40, 2, "completed", "none", false, true};
@@ -172,8 +172,8 @@
 
 TEST_CASE("Goodput counts what was answered within the run")
 {
-    // Half of the jobs wait in a backlog and are answered after the last arrival. Counted by
-    // arrival, an overloaded site came out at 1.3 times its capacity.
+    // Some jobs wait in a backlog and are answered after the last arrival. If jobs were counted by
+    // arrival, an overloaded site would be reported with a goodput of 1.3 times its capacity.
     Tool::BenchResult result = resultOf({{30, 0, "completed", "none", false, false},
                                          {9500, 0, "completed", "none", false, false},
                                          {30, 0, "refused", "queue_full", true, false}});
--- a/Source/UnitTests/Tool/CommandTest.cpp
+++ b/Source/UnitTests/Tool/CommandTest.cpp
@@ -13,8 +13,8 @@
 const char *const Configuration = R"({"version": 7, "policy": {"queueing": "fair"}, "drains": [],
     "services": [{"name": "weld", "expectedRunMs": 50}], "teams": [], "keyVersions": []})";
 
-/// A gateway that answers everything alike, but for its configuration, and remembers what it was
-/// asked last.
+/// A gateway that returns its configuration for GET /v1/config and the same answer to all other
+/// requests. It keeps the last request.
 class FakeGateway
 {
 public:
@@ -159,10 +159,10 @@
     CHECK(runTool(gateway.address(), "submit --team t") == ExitCode::Failed);
 }
 
-TEST_CASE("The loser of a race between operators is told so")
+TEST_CASE("A conflict with another operator's change is reported")
 {
-    // Two operators change the same team on the same version. The log takes the other's change
-    // first; the gateway answers 409 here, and nothing of this change is in force.
+    // Two operators change the same team, based on the same version. The other operator's change is
+    // appended first, so the gateway answers 409 to this one, and none of it is applied.
     FakeGateway gateway(409, R"({"reason": "config_conflict"})");
     CHECK(runTool(gateway.address(), "config set team t --weight 2 --based-on 7")
           == ExitCode::Conflict);
