--- a/Source/UnitTests/Net/PeerHubTest.cpp
+++ b/Source/UnitTests/Net/PeerHubTest.cpp
@@ -205,12 +205,12 @@
     REQUIRE(sender.waitUntil([&] { return !sender.openLinks.empty(); }));
     constexpr int MoreThanFits = 200;
     const Schema::Frame large = acknowledgement(std::string(std::size_t{1} << 20U, 'x'), 0);
-    int taken = 0;
-    while (taken < MoreThanFits && sender.hub.send(link, large)) {
-        ++taken;
+    int acceptedFrames = 0;
+    while (acceptedFrames < MoreThanFits && sender.hub.send(link, large)) {
+        ++acceptedFrames;
     }
-    CHECK(taken > 1);
-    CHECK(taken < MoreThanFits);
+    CHECK(acceptedFrames > 1);
+    CHECK(acceptedFrames < MoreThanFits);
     {
         const std::lock_guard<std::mutex> lock(mutex);
         isStalled = false;
