--- a/Source/AuburntrailTool/Output.cpp
+++ b/Source/AuburntrailTool/Output.cpp
@@ -56,7 +56,7 @@
 
 ExitCode reportTransport(const ApiAnswer &answer, ExitCode afterReaching)
 {
-    std::cerr << (answer.isReached ? "no answer, the gateway may have acted: "
+    std::cerr << (answer.isReached ? "no answer, the gateway may have executed the call: "
                                    : "no gateway could be reached: ")
               << answer.error << '\n';
     return answer.isReached ? afterReaching : ExitCode::Unreachable;
@@ -89,8 +89,8 @@
 
 std::string formatNumber(double value, int decimals)
 {
-    constexpr std::size_t Longest = 64;
-    std::array<char, Longest> buffer{};
+    constexpr std::size_t MaxLength = 64;
+    std::array<char, MaxLength> buffer{};
     std::snprintf(buffer.data(), buffer.size(), "%.*f", decimals, value);
     return buffer.data();
 }
--- a/Source/Soak/Load.h
+++ b/Source/Soak/Load.h
@@ -9,32 +9,32 @@
 
 #include "Soak/Records.h"
 
-/// Callers that submit jobs, and a look at each gateway's readiness and configuration.
+/// Callers that submit jobs, and probes of each gateway's readiness and configuration version.
 namespace Soak {
 
-/// A gateway as its callers see it.
-struct GatewayFace
+/// Addresses and state of a gateway, as its callers use them.
+struct GatewayEndpoint
 {
     std::string name;
-    /// Through the proxy.
+    /// Leads through the proxy.
     std::string callerAddress;
     std::string directAddress;
     std::string probeAddress;
-    /// Counts its processes.
-    std::atomic<int> life{0};
-    /// Callers may open connections to it.
+    /// Number of times the gateway's process was started.
+    std::atomic<int> incarnation{0};
+    /// The gateway reported that it is ready, so callers may choose it for new requests.
     std::atomic<bool> isReady{false};
 };
 
-/// Path of a queue that only this version of the configuration has.
-std::string markOf(std::int64_t version);
-/// The configuration of this version.
-std::string queuesOf(std::int64_t version, const std::string &service);
+/// Path of a queue that exists only in this version of the configuration.
+std::string versionQueuePath(std::int64_t version);
+/// Queue configuration of this version.
+std::string queueConfiguration(std::int64_t version, const std::string &service);
 
 class Load
 {
 public:
-    Load(std::uint64_t seed, std::deque<GatewayFace> &gateways);
+    Load(std::uint64_t seed, std::deque<GatewayEndpoint> &gateways);
     ~Load();
     Load(const Load &) = delete;
     Load &operator=(const Load &) = delete;
@@ -42,11 +42,11 @@
     void startProbes();
     void startCallers(int count);
     void setVersion(std::int64_t version) { this->newestVersion = version; }
-    /// No new jobs; those that are open are submitted again until \a deadlineMs at most. Returns
+    /// Submits no new jobs, and submits open jobs again until \a deadlineMs at the latest. Returns
     /// the jobs whose callers got no answer.
     std::vector<std::string> finish(std::int64_t deadlineMs);
     std::vector<Submission> submissions() const;
-    std::vector<VersionSeen> versions() const;
+    std::vector<ObservedVersion> versions() const;
 
 private:
     struct Job;
@@ -54,21 +54,21 @@
     void runCaller(std::uint64_t seed);
     void submitUntilAnswered(Job &job, Net::HttpClient &client, Common::Random &random,
                              std::size_t &gateway);
-    bool submit(const Job &job, Net::HttpClient &client, GatewayFace &gateway);
+    bool submit(const Job &job, Net::HttpClient &client, GatewayEndpoint &gateway);
     std::size_t pickGateway(Common::Random &random) const;
-    void runProbe(GatewayFace &gateway);
-    void askVersion(Net::HttpClient &client, GatewayFace &gateway, std::int64_t version);
+    void runProbe(GatewayEndpoint &gateway);
+    void probeVersion(Net::HttpClient &client, GatewayEndpoint &gateway, std::int64_t version);
     bool sleep(std::int64_t ms) const;
 
     std::uint64_t seed;
-    std::deque<GatewayFace> &gateways;
+    std::deque<GatewayEndpoint> &gateways;
     std::atomic<std::int64_t> newestVersion{0};
     std::atomic<bool> isClosing{false};
     std::atomic<bool> isProbing{true};
     std::atomic<std::int64_t> deadlineMs{NeverMs};
     mutable std::mutex mutex;
-    std::vector<Submission> made;
-    std::vector<VersionSeen> seen;
+    std::vector<Submission> submitted;
+    std::vector<ObservedVersion> observedVersions;
     std::vector<std::string> unanswered;
     std::vector<std::thread> callers;
     std::vector<std::thread> probes;
--- a/Source/UnitTests/Tool/BenchTest.cpp
+++ b/Source/UnitTests/Tool/BenchTest.cpp
@@ -24,8 +24,8 @@
                {"mostRunMs", 40}}}}};
 }
 
-/// What is wrong with \a json, or nothing.
-std::string faultOf(const Json &json)
+/// Returns the error in \a json, or an empty string.
+std::string errorOf(const Json &json)
 {
     return Common::handle(
             [&json]() -> Common::Outcome<std::string> {
@@ -64,7 +64,7 @@
     {
         const char *pointer;
         Json value;
-        const char *fault;
+        const char *error;
     };
     const Row rows[] = {
             {"/seconds", 10, ""},
@@ -81,9 +81,9 @@
         CAPTURE(row.pointer);
         Json json = minimalFile();
         json[Json::json_pointer(row.pointer)] = row.value;
-        const std::string fault = faultOf(json);
-        CHECK(fault.empty() == std::string(row.fault).empty());
-        CHECK(fault.find(row.fault) != std::string::npos);
+        const std::string error = errorOf(json);
+        CHECK(error.empty() == std::string(row.error).empty());
+        CHECK(error.find(row.error) != std::string::npos);
     }
 }
 
@@ -151,7 +151,7 @@
     CHECK(Tool::quantilesOf({}).max == 0);
 }
 
-TEST_CASE("A report tells what callers received")
+TEST_CASE("A report summarizes the answers that callers received")
 {
     const Tool::JobRecord good{30, 0, "completed", "none", false, false};
     const Tool::JobRecord wrong{40, 2, "completed", "none", false, true};
@@ -172,8 +172,8 @@
 
 TEST_CASE("Goodput counts what was answered within the run")
 {
-    // Half of the jobs wait in a backlog and are answered after the last arrival. Counted by
-    // arrival, an overloaded site came out at 1.3 times its capacity.
+    // Some jobs wait in a backlog and are answered after the last arrival. If jobs were counted by
+    // arrival, an overloaded site would be reported with a goodput of 1.3 times its capacity.
     Tool::BenchResult result = resultOf({{30, 0, "completed", "none", false, false},
                                          {9500, 0, "completed", "none", false, false},
                                          {30, 0, "refused", "queue_full", true, false}});
