--- a/Source/UnitTests/Agent/FenceTest.cpp
+++ b/Source/UnitTests/Agent/FenceTest.cpp
@@ -96,7 +96,7 @@
 // together with the agent, does not know of this and goes on sending starts. Only the expired lease
 // prevents the agent from starting g1's tasks. When the agent receives answers of the others again,
 // they renew the lease and contain the new epoch as well.
-TEST_CASE("A lapsed lease stops starts until a majority is heard again")
+TEST_CASE("A lapsed lease prevents starts until a majority of gateways answers again")
 {
     for (const bool leased : {true, false}) {
         CAPTURE(leased);
--- a/Source/UnitTests/Agent/OutcomesTest.cpp
+++ b/Source/UnitTests/Agent/OutcomesTest.cpp
@@ -256,7 +256,7 @@
     CHECK(heavy.startsOf("job-0") == 1);
 }
 
-TEST_CASE("An outcome is forgotten after its retention, acknowledged or not")
+TEST_CASE("An outcome without acknowledgement is deleted after its retention time")
 {
     AgentFixture site;
     site.state.outcomes.options.retentionMs = 5000;
--- a/Source/UnitTests/Dispatch/Configuration/ConfigStoreTest.cpp
+++ b/Source/UnitTests/Dispatch/Configuration/ConfigStoreTest.cpp
@@ -122,7 +122,7 @@
     }
 }
 
-TEST_CASE("Of two operators who race the first in the log wins, and the loser is told")
+TEST_CASE("The first of two changes in the log is applied, the second is reported as a conflict")
 {
     // Two operators change one team at two gateways, both based on version 0. The change that is
     // first in the log takes effect everywhere; the other is answered with a conflict. Neither the
--- a/Source/UnitTests/Net/HttpTest.cpp
+++ b/Source/UnitTests/Net/HttpTest.cpp
@@ -204,7 +204,7 @@
     CHECK(answer.find("Keep-Alive") == std::string::npos);
 }
 
-TEST_CASE("The handler gets the headers, and the end of each connection is told")
+TEST_CASE("The handler receives the headers, and the end of each connection is reported")
 {
     Latch ended(1);
     std::atomic<std::uint64_t> opened{0};
--- a/Source/UnitTests/Transient/JobsTest.cpp
+++ b/Source/UnitTests/Transient/JobsTest.cpp
@@ -282,8 +282,9 @@
     };
     const Row rows[] = {
             {"room", 1, 0, 5000, false, Reason::None},
-            {"nobody is able", 9, 0, 5000, false, Reason::NoBackend},
-            {"nobody is able, but agents are still being gathered", 9, 0, 100, false, Reason::None},
+            {"no backend server is eligible", 9, 0, 5000, false, Reason::NoBackend},
+            {"no backend server is eligible, but agents may still be connecting", 9, 0, 100, false,
+             Reason::None},
             {"far too much waits", 1, 200, 5000, false, Reason::DeadlineUnreachable},
             {"it would not end before the gateway is gone", 1, 0, 5000, true, Reason::Stopping},
     };
--- a/Source/UnitTests/Transient/SitePropertyTest.cpp
+++ b/Source/UnitTests/Transient/SitePropertyTest.cpp
@@ -443,19 +443,19 @@
     }
 }
 
-TEST_CASE("Random commands break no promise of transient jobs")
+TEST_CASE("Random commands violate no invariant of transient jobs")
 {
     PropertyCheck::check<Command>({"transient jobs", 12, 60}, anyCommand(), findViolations,
                                   printTrace);
 }
 
-TEST_CASE("Random trouble of backend servers breaks no promise of transient jobs")
+TEST_CASE("Random faults of backend servers violate no invariant of transient jobs")
 {
     PropertyCheck::check<Command>({"trouble of backend servers", 60, 100}, anyCommandWithTrouble(),
                                   findViolations, printTrace);
 }
 
-TEST_CASE("Random lives of backend servers break no promise of transient jobs")
+TEST_CASE("Random incarnations of backend servers violate no invariant of transient jobs")
 {
     PropertyCheck::check<Command>({"lives of backend servers", 60, 100},
                                   anyCommandWithIncarnations(), findViolations, printTrace);
--- a/Source/UnitTests/Whole/PropertyTest.cpp
+++ b/Source/UnitTests/Whole/PropertyTest.cpp
@@ -254,7 +254,7 @@
 
 } // namespace
 
-TEST_CASE("Random commands break no promise")
+TEST_CASE("Random commands violate no invariant")
 {
     PropertyCheck::check<Command>({"random commands", 40, 80}, anyCommand(), findViolations);
 }
--- a/Source/UnitTests/Whole/StoryTest.cpp
+++ b/Source/UnitTests/Whole/StoryTest.cpp
@@ -83,7 +83,7 @@
     checkInvariants(*world);
 }
 
-TEST_CASE("The owner dies with tasks running")
+TEST_CASE("The owner is killed with tasks running")
 {
     // The job's owner is killed while its tasks run. The successor claims the shard, waits until
     // the agents' lease has expired and learns from the agents which tasks run. The caller's
@@ -106,7 +106,7 @@
     }
 }
 
-TEST_CASE("The owner dies with tasks still in its queue")
+TEST_CASE("The owner is killed with tasks still in its queue")
 {
     // The owner of 24 long tasks is killed while some of them wait for the 16 slots. The successor
     // proves from a majority of gateways and from every agent that these never started, and runs
@@ -272,7 +272,7 @@
     checkInvariants(*world);
 }
 
-TEST_CASE("The owner dies while the log is out, and its id is resubmitted")
+TEST_CASE("The owner is killed while the log is unavailable, and its job is resubmitted")
 {
     // The owner cannot write the job's intent, declares itself unlogged after two seconds, runs the
     // job and is killed. The log becomes available again and a successor takes over. The agents
