--- a/Source/Core/Common/SettingsFile.cpp
+++ b/Source/Core/Common/SettingsFile.cpp
@@ -25,7 +25,7 @@
     return schema;
 }
 
-/// The error that lies deepest in the value: it names the member that is wrong.
+/// The error with the longest path into the value: it names the invalid member.
 std::string deepestError(valijson::ValidationResults &results)
 {
     std::string text;
@@ -64,15 +64,15 @@
     }
     std::int64_t whole = 0;
     double fraction = 0;
-    bool truth = false;
+    bool boolean = false;
     if (YAML::convert<std::int64_t>::decode(node, whole)) {
         return whole;
     }
     if (YAML::convert<double>::decode(node, fraction)) {
         return fraction;
     }
-    if (YAML::convert<bool>::decode(node, truth)) {
-        return truth;
+    if (YAML::convert<bool>::decode(node, boolean)) {
+        return boolean;
     }
     return text;
 }
@@ -164,7 +164,7 @@
     return node;
 }
 
-/// Schemas are compiled once: doing it for each request costs more than the check itself.
+/// Schemas are compiled once: compiling one for each request costs more than the check itself.
 const valijson::Schema &messageSchema(const std::string &definition)
 {
     static std::mutex mutex;
--- a/Source/Core/Dispatch/Jobs/JobEnd.cpp
+++ b/Source/Core/Dispatch/Jobs/JobCompletion.cpp
@@ -1,4 +1,4 @@
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 
 #include <map>
 #include <optional>
@@ -15,8 +15,8 @@
 constexpr const char *RefusedCounter = "auburntrail_jobs_refused_total";
 constexpr const char *EndedCounter = "auburntrail_jobs_ended_total";
 
-/// Refusals that start nothing and yet cannot say that the id has not run: with other content, or
-/// longer ago than anybody remembers.
+/// Refusals that start nothing but don't prove that the id has never run: it may have run with
+/// other content, or so long ago that its record has expired.
 bool mayHaveRunBefore(Reason reason)
 {
     return reason == Reason::IdConflict || reason == Reason::SubmissionTooOld
@@ -57,8 +57,8 @@
     return effects;
 }
 
-Effects answerAll(GatewayState &state, const std::vector<std::string> &requests,
-                  const Schema::JobAnswer &answer)
+Effects answerRequests(GatewayState &state, const std::vector<std::string> &requests,
+                       const Schema::JobAnswer &answer)
 {
     Effects effects;
     for (const std::string &request : requests) {
@@ -69,21 +69,21 @@
 
 Effects finishJob(GatewayState &state, JobEntry &job, const Schema::JobAnswer &answer)
 {
-    std::map<std::string, Schema::TaskRefs> recalled;
+    std::map<std::string, Schema::TaskRefs> cancelled;
     for (std::size_t index = 0; index < job.tasks.size(); ++index) {
         const TaskEntry &task = job.tasks[index];
         if (task.stage == TaskStage::Sent && !task.agent.empty()) {
             Schema::TaskRef ref;
             ref.job = job.id;
             ref.index = static_cast<std::int64_t>(index);
-            recalled[task.agent].tasks.push_back(std::move(ref));
+            cancelled[task.agent].tasks.push_back(std::move(ref));
         }
     }
     Effects effects{CountReason{EndedCounter, answer.reason}};
-    append(effects, answerAll(state, endJob(state.ledger, job, answer), answer));
+    append(effects, answerRequests(state, endJob(state.ledger, job, answer), answer));
     dropJob(state.scheduler, job.id);
     state.awaitingIntent.erase(job.id);
-    for (auto &[agent, refs] : recalled) {
+    for (auto &[agent, refs] : cancelled) {
         Schema::Frame frame = frameOf(Schema::FrameType::CancelTasks);
         frame.cancelTasks = std::move(refs);
         effects.emplace_back(SendToAgent{agent, std::move(frame)});
@@ -100,14 +100,14 @@
     return answer ? finishJob(state, job, *answer) : Effects{};
 }
 
-Effects endOverdueJobs(GatewayState &state, Common::Moment now)
+Effects finishOverdueJobs(GatewayState &state, Common::Moment now)
 {
     Effects effects;
     for (const ExpiredJob &expired : expiredJobs(state.scheduler, now)) {
         JobEntry *job = findJob(state.ledger, expired.job);
         if (job != nullptr && !job->answer) {
             Schema::JobAnswer answer =
-                    givenUpAnswer(*job, expired.refusal.reason, expired.refusal.detail);
+                    abortedAnswer(*job, expired.refusal.reason, expired.refusal.detail);
             if (expired.refusal.retryAfterMs > 0) {
                 answer.retryAfterMs = expired.refusal.retryAfterMs;
             }
@@ -117,7 +117,7 @@
     for (const std::string &id : pastDeadline(state.ledger, now)) {
         JobEntry *job = findJob(state.ledger, id);
         if (job != nullptr && !job->answer) {
-            append(effects, finishJob(state, *job, givenUpAnswer(*job, Reason::DeadlinePassed)));
+            append(effects, finishJob(state, *job, abortedAnswer(*job, Reason::DeadlinePassed)));
         }
     }
     return effects;
--- a/Source/Core/Dispatch/Jobs/Submissions.cpp
+++ b/Source/Core/Dispatch/Jobs/Submissions.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <optional>
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Jobs/TaskStarts.h"
 #include "Dispatch/Persistence/JobAnswers.h"
 
@@ -25,7 +25,8 @@
                        [&name](const Schema::Service &service) { return service.name == name; });
 }
 
-/// The request waits for the job's end, or for its acceptance.
+/// Makes the request wait for the end of the job or, if its caller doesn't wait, for its
+/// acceptance. A job that has been accepted already is answered at once in the latter case.
 Effects waitForJob(GatewayState &state, const std::string &requestId, JobEntry &job)
 {
     Request *request = findRequest(state.requests, requestId);
@@ -41,10 +42,11 @@
     return {};
 }
 
-/// An id that an earlier owner may have acted on without trace: it is never started, and every
-/// submission of it gets the same answer.
-Effects answerUnknowable(GatewayState &state, const std::string &requestId,
-                         const Schema::SubmitJob &submit, Reason reason)
+/// Answers a submission whose id an earlier owner may have acted on without leaving a record that
+/// this gateway can read. The job is stored as ended, so that it is never started and every
+/// resubmission gets the same answer.
+Effects answerUnknownOutcome(GatewayState &state, const std::string &requestId,
+                             const Schema::SubmitJob &submit, Reason reason)
 {
     JobEntry &job = addRecoveredJob(state.ledger, *submit.id,
                                     static_cast<std::int64_t>(submit.tasks.size()),
@@ -56,7 +58,7 @@
     }
     return finishJob(
             state, job,
-            givenUpAnswer(job, reason, "an earlier owner of this job may have started it"));
+            abortedAnswer(job, reason, "an earlier owner of this job may have started it"));
 }
 
 Effects acceptJob(GatewayState &state, const std::string &requestId,
@@ -73,9 +75,9 @@
     return waitForJob(state, requestId, job);
 }
 
-/// First sight of the id in this ledger; the journal may still know it.
-Effects submitUnseen(GatewayState &state, const std::string &requestId,
-                     const Schema::SubmitJob &submit, Common::Moment now)
+/// Handles a submission whose id is not in the ledger. The journal may still contain it.
+Effects submitUnknownJob(GatewayState &state, const std::string &requestId,
+                         const Schema::SubmitJob &submit, Common::Moment now)
 {
     const std::int64_t shard = shardOf(state.ledger, *submit.id);
     const std::int64_t firstMs = submit.firstSubmittedMs.value_or(now.wallMs);
@@ -86,16 +88,16 @@
     }
     const JobHistory history = jobHistory(state.site, *submit.id, firstMs);
     if (history == JobHistory::Journaled) {
-        const auto proven = state.recovery.provenSinceMs.find(shard);
-        const bool isProvedNotStarted = proven != state.recovery.provenSinceMs.end() && intent
-                                        && intent->firstSubmittedMs >= proven->second;
+        const auto proven = state.recovery.provenNotStartedSinceMs.find(shard);
+        const bool isProvedNotStarted = proven != state.recovery.provenNotStartedSinceMs.end()
+                                        && intent && intent->firstSubmittedMs >= proven->second;
         if (!isProvedNotStarted) {
-            return answerUnknowable(state, requestId, submit, Reason::TaskLost);
+            return answerUnknownOutcome(state, requestId, submit, Reason::TaskLost);
         }
         return acceptJob(state, requestId, submit, now);
     }
     if (history == JobHistory::Unknown) {
-        return answerUnknowable(state, requestId, submit, Reason::PredecessorUnlogged);
+        return answerUnknownOutcome(state, requestId, submit, Reason::PredecessorUnlogged);
     }
     const Schema::Configuration &config = configuration(state.site.config);
     if (!isKnownTeam(config, submit.team)) {
@@ -108,9 +110,10 @@
     return acceptJob(state, requestId, submit, now);
 }
 
-/// The content of a job that this owner knew only by its traces.
-Effects resumeJob(GatewayState &state, const std::string &requestId, JobEntry &job,
-                  const Schema::SubmitJob &submit, Common::Moment now)
+/// Adds the submitted content to a job that was known only from the journal or from reports, and
+/// schedules the job.
+Effects resumeRecoveredJob(GatewayState &state, const std::string &requestId, JobEntry &job,
+                           const Schema::SubmitJob &submit, Common::Moment now)
 {
     if (submit.tasks.size() != job.tasks.size()) {
         return refuseRequest(state, requestId, Reason::IdConflict,
@@ -123,52 +126,52 @@
 
 } // namespace
 
-Effects ownerSubmit(GatewayState &state, const std::string &requestId, Common::Moment now)
+Effects handleSubmit(GatewayState &state, const std::string &requestId, Common::Moment now)
 {
     const Schema::SubmitJob submit = *findRequest(state.requests, requestId)->submit;
-    std::optional<Common::Failure> wrongTime;
+    std::optional<Common::Failure> timeFailure;
     Common::handle([&] { return checkTimes(state.ledger, submit, now); },
-                   [&](const Common::Failure &failure) { wrongTime = failure; });
+                   [&](const Common::Failure &failure) { timeFailure = failure; });
     JobEntry *job = findJob(state.ledger, *submit.id);
-    const SubmitVerdict verdict = lookUp(state.ledger, submit);
-    const bool isNew = verdict == SubmitVerdict::New || verdict == SubmitVerdict::Refused;
-    // A deadline that has passed does not take back the answer of a job that has ended.
-    if (wrongTime && isNew) {
+    const SubmissionStatus status = lookUpSubmission(state.ledger, submit);
+    const bool isNew = status == SubmissionStatus::New || status == SubmissionStatus::Refused;
+    // Invalid times only prevent a job from being accepted. For example, a job that has ended keeps
+    // its answer after its deadline.
+    if (timeFailure && isNew) {
         const bool mayHaveRun =
-                wrongTime->reason == Reason::DeadlinePassed && verdict == SubmitVerdict::New
+                timeFailure->reason == Reason::DeadlinePassed && status == SubmissionStatus::New
                 && jobHistory(state.site, *submit.id, submit.firstSubmittedMs.value_or(0))
                            != JobHistory::NeverStarted;
         if (mayHaveRun) {
-            return answerUnknowable(state, requestId, submit, Reason::TaskLost);
+            return answerUnknownOutcome(state, requestId, submit, Reason::TaskLost);
         }
-        return refuseRequest(state, requestId, wrongTime->reason, wrongTime->detail);
+        return refuseRequest(state, requestId, timeFailure->reason, timeFailure->detail);
     }
-    switch (verdict) {
-    case SubmitVerdict::New:
-        return submitUnseen(state, requestId, submit, now);
-    case SubmitVerdict::Refused:
+    switch (status) {
+    case SubmissionStatus::New:
+        return submitUnknownJob(state, requestId, submit, now);
+    case SubmissionStatus::Refused:
         removeJob(state.ledger, *submit.id);
         return acceptJob(state, requestId, submit, now);
-    case SubmitVerdict::Ended:
+    case SubmissionStatus::Ended:
         return answerRequest(state, requestId, *job->answer);
-    case SubmitVerdict::Conflict:
+    case SubmissionStatus::Conflict:
         return refuseRequest(state, requestId, Reason::IdConflict,
                              "this id was submitted before with other content");
-    case SubmitVerdict::Pending:
+    case SubmissionStatus::Pending:
         return waitForJob(state, requestId, *job);
-    case SubmitVerdict::Recovered:
+    case SubmissionStatus::Recovered:
         break;
     }
-    return resumeJob(state, requestId, *job, submit, now);
+    return resumeRecoveredJob(state, requestId, *job, submit, now);
 }
 
-Effects ownerGet(GatewayState &state, const std::string &requestId)
+Effects handleGet(GatewayState &state, const std::string &requestId)
 {
     const Request *request = findRequest(state.requests, requestId);
     JobEntry *job = findJob(state.ledger, request->job);
     if (job == nullptr) {
-        return refuseRequest(state, requestId, Reason::UnknownJob,
-                             "no job with this id is remembered");
+        return refuseRequest(state, requestId, Reason::UnknownJob, "no job with this id is known");
     }
     if (job->answer) {
         return answerRequest(state, requestId, *job->answer);
@@ -179,14 +182,14 @@
     return answerRequest(state, requestId, pendingAnswer(*job));
 }
 
-Effects ownerCancel(GatewayState &state, const std::string &requestId)
+Effects handleCancel(GatewayState &state, const std::string &requestId)
 {
     JobEntry *job = findJob(state.ledger, findRequest(state.requests, requestId)->job);
     if (job != nullptr && !job->answer) {
         job->waiters.push_back(requestId);
-        return finishJob(state, *job, givenUpAnswer(*job, Reason::Cancelled));
+        return finishJob(state, *job, abortedAnswer(*job, Reason::Cancelled));
     }
-    return ownerGet(state, requestId);
+    return handleGet(state, requestId);
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Jobs/TaskReports.cpp
+++ b/Source/Core/Dispatch/Jobs/TaskReports.cpp
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Persistence/JobAnswers.h"
 
 namespace Dispatch {
@@ -15,11 +15,12 @@
 constexpr const char *RetriedCounter = "auburntrail_task_retries_total";
 constexpr const char *ReportedCounter = "auburntrail_task_reports_total";
 
-/// Frees the task's place at the agent, and lets the scheduler learn from how it went.
+/// Frees the task's slot at the agent and reports the outcome to the scheduler, which learns from
+/// it.
 void releaseSlot(GatewayState &state, const std::string &agent, const TaskKey &task,
                  const Schema::TaskState &report, Common::Moment now)
 {
-    taskLeft(state.agents, agent, task);
+    removeAgentTask(state.agents, agent, task);
     if (report.phase == TaskPhase::Unknown) {
         taskAbandoned(state.scheduler, task, agent, now);
         return;
@@ -28,33 +29,35 @@
               report.runMs.value_or(0), now);
 }
 
-Effects taskRefused(GatewayState &state, JobEntry &job, const std::string &agent,
-                    const TaskKey &task, Reason reason, Common::Moment now, Common::Random &random)
+Effects handleRefusedTask(GatewayState &state, JobEntry &job, const std::string &agent,
+                          const TaskKey &task, Reason reason, Common::Moment now,
+                          Common::Random &random)
 {
-    taskLeft(state.agents, agent, task);
+    removeAgentTask(state.agents, agent, task);
     const RetryDecision decision =
             taskNotStarted(state.scheduler, task, agent, reason, now, random);
     Effects effects{CountReason{RetriedCounter, reason}};
-    if (decision == RetryDecision::GivenUp && !job.answer) {
-        append(effects, finishJob(state, job,
-                                  givenUpAnswer(job, reason, "no backend server took the task")));
+    if (decision == RetryDecision::AttemptsExhausted && !job.answer) {
+        append(effects,
+               finishJob(state, job,
+                         abortedAnswer(job, reason, "no backend server accepted the task")));
     }
     return effects;
 }
 
-Effects reportApplied(GatewayState &state, JobEntry &job, const std::string &agent,
-                      const Schema::TaskState &report, ReportEffect effect, Common::Moment now,
-                      Common::Random &random)
+Effects handleReportEffect(GatewayState &state, JobEntry &job, const std::string &agent,
+                           const Schema::TaskState &report, ReportEffect effect, Common::Moment now,
+                           Common::Random &random)
 {
     const TaskKey task{report.job, static_cast<int>(report.index)};
     switch (effect) {
     case ReportEffect::Nothing:
         return {};
     case ReportEffect::Running:
-        taskWith(state.agents, agent, task);
+        addAgentTask(state.agents, agent, task);
         return {};
     case ReportEffect::NotStarted:
-        return taskRefused(state, job, agent, task, report.reason, now, random);
+        return handleRefusedTask(state, job, agent, task, report.reason, now, random);
     case ReportEffect::Ended:
     case ReportEffect::Lost:
         releaseSlot(state, agent, task, report, now);
@@ -65,20 +68,22 @@
     return effects;
 }
 
-/// A task of a job that neither the ledger nor the journal knows: it was started unlogged.
-JobEntry &addEvidence(GatewayState &state, const Schema::TaskState &report, Common::Moment now)
+/// Adds the job of a reported task that is not in the ledger. If the journal doesn't contain the
+/// job either, it was started without a durable intent and is added as ended with an unknown
+/// outcome.
+JobEntry &addReportedJob(GatewayState &state, const Schema::TaskState &report, Common::Moment now)
 {
     const std::optional<JournaledIntent> intent = findIntent(state.site.journal, report.job);
     if (intent) {
         return addRecoveredJob(state.ledger, report.job, intent->tasks, intent->firstSubmittedMs);
     }
     JobEntry &job = addRecoveredJob(state.ledger, report.job, 1, now.wallMs);
-    endJob(state.ledger, job, givenUpAnswer(job, Reason::PredecessorUnlogged));
+    endJob(state.ledger, job, abortedAnswer(job, Reason::PredecessorUnlogged));
     job.answer->outcome = Schema::JobOutcome::Unknown;
     return job;
 }
 
-bool takesReports(const GatewayState &state, std::int64_t shard)
+bool acceptsReports(const GatewayState &state, std::int64_t shard)
 {
     const ShardPhase phase = shardPhase(state.site.ownership, shard);
     return phase == ShardPhase::NeedsReports || phase == ShardPhase::Serving;
@@ -86,23 +91,24 @@
 
 } // namespace
 
-Effects tasksReported(GatewayState &state, const std::string &agent,
-                      const Schema::TaskStates &report, Common::Moment now, Common::Random &random)
+Effects handleTaskReports(GatewayState &state, const std::string &agent,
+                          const Schema::TaskStates &report, Common::Moment now,
+                          Common::Random &random)
 {
     Effects effects;
     Schema::TaskRefs acknowledged;
     for (const Schema::TaskState &task : report.states) {
         const std::int64_t shard = shardOf(state.ledger, task.job);
-        if (!takesReports(state, shard)) {
+        if (!acceptsReports(state, shard)) {
             continue;
         }
         JobEntry *job = findJob(state.ledger, task.job);
         if (job == nullptr && task.phase != TaskPhase::NotStarted) {
-            job = &addEvidence(state, task, now);
+            job = &addReportedJob(state, task, now);
         }
         if (job != nullptr) {
             const ReportEffect effect = applyReport(*job, task, agent);
-            append(effects, reportApplied(state, *job, agent, task, effect, now, random));
+            append(effects, handleReportEffect(state, *job, agent, task, effect, now, random));
         }
         if (task.phase != TaskPhase::Running) {
             Schema::TaskRef ref;
@@ -120,9 +126,9 @@
     return effects;
 }
 
-Effects agentGone(GatewayState &state, const std::string &agent, Common::Moment now)
+Effects removeLostAgent(GatewayState &state, const std::string &agent, Common::Moment now)
 {
-    Effects effects{Note{"agent_gone", {{"agent", agent}}}};
+    Effects effects{LogLine{"agent_gone", {{"agent", agent}}}};
     for (const TaskKey &task : removeAgent(state.agents, agent, now)) {
         taskAbandoned(state.scheduler, task, agent, now);
         JobEntry *job = findJob(state.ledger, task.job);
--- a/Source/Core/Dispatch/Ownership/Handover.cpp
+++ b/Source/Core/Dispatch/Ownership/Handover.cpp
@@ -2,7 +2,8 @@
 
 #include "Dispatch/Ownership/OwnershipParts.h"
 
-/// Direct handover of shards: a chain of single holders, which needs neither log nor agreement.
+/// Direct handover of shards. Each shard passes from one single holder to the next, so a handover
+/// needs neither the log nor a majority.
 namespace Dispatch {
 
 namespace {
@@ -17,10 +18,12 @@
     return shard >= 0 && shard < state.settings.shardCount;
 }
 
-/// Gives the first of \a shards to \a receivers in turn, each up to \a target.
-std::vector<WantedHandover> spread(std::vector<std::int64_t> shards,
-                                   const std::map<std::string, std::int64_t> &owned,
-                                   const std::vector<std::string> &receivers, std::int64_t target)
+/// Assigns \a shards in order to \a receivers until each of them owns \a target shards or none is
+/// left.
+std::vector<WantedHandover> distributeShards(std::vector<std::int64_t> shards,
+                                             const std::map<std::string, std::int64_t> &owned,
+                                             const std::vector<std::string> &receivers,
+                                             std::int64_t target)
 {
     std::vector<WantedHandover> wanted;
     auto next = shards.begin();
@@ -47,7 +50,7 @@
             });
 }
 
-bool takeShard(OwnershipState &state, const Schema::ShardOwner &given, Common::Moment now)
+bool takeOverShard(OwnershipState &state, const Schema::ShardOwner &given, Common::Moment now)
 {
     ShardClaim &claim = state.table.shards[static_cast<std::size_t>(given.shard)];
     ShardRole &role = roleOf(state, given.shard);
@@ -85,12 +88,12 @@
 
 std::vector<WantedHandover> wantedHandovers(const OwnershipState &state, Common::Moment now)
 {
-    std::vector<std::string> receivers = takers(state, now);
+    std::vector<std::string> receivers = eligibleOwners(state, now);
     const auto members = static_cast<std::int64_t>(receivers.size());
     receivers.erase(std::remove_if(receivers.begin(), receivers.end(),
                                    [&](const std::string &instance) {
                                        return instance == state.self.instance
-                                              || !readsJournal(state, instance);
+                                              || !hasCaughtUpWithJournal(state, instance);
                                    }),
                     receivers.end());
     std::vector<std::int64_t> shards = shardsIn(state, ShardPhase::Serving);
@@ -101,19 +104,19 @@
     const std::int64_t total = state.settings.shardCount;
     const std::int64_t fairShare = (total + members - 1) / members;
     if (state.leaving) {
-        return spread(std::move(shards), owned, receivers, fairShare);
+        return distributeShards(std::move(shards), owned, receivers, fairShare);
     }
     const auto surplus = static_cast<std::int64_t>(shards.size()) - fairShare;
     if (surplus <= 0) {
         return {};
     }
     shards.resize(static_cast<std::size_t>(surplus));
-    return spread(std::move(shards), owned, receivers, total / members);
+    return distributeShards(std::move(shards), owned, receivers, total / members);
 }
 
-Schema::Handover handoverOut(OwnershipState &state, const std::vector<std::int64_t> &shards,
-                             const std::string &successor, Common::Moment now,
-                             Common::Random &random)
+Schema::Handover beginHandover(OwnershipState &state, const std::vector<std::int64_t> &shards,
+                               const std::string &successor, Common::Moment now,
+                               Common::Random &random)
 {
     Schema::Handover handover;
     handover.requestId = Common::randomId(random);
@@ -137,7 +140,7 @@
     return handover;
 }
 
-bool handoverStands(const OwnershipState &state, const Schema::Handover &handover)
+bool isHandoverPending(const OwnershipState &state, const Schema::Handover &handover)
 {
     return std::any_of(handover.shards.begin(), handover.shards.end(),
                        [&](const Schema::ShardOwner &given) {
@@ -146,7 +149,7 @@
                        });
 }
 
-void handoverDone(OwnershipState &state, const Schema::Handover &handover)
+void completeHandover(OwnershipState &state, const Schema::Handover &handover)
 {
     for (const Schema::ShardOwner &given : handover.shards) {
         ShardRole &role = roleOf(state, given.shard);
@@ -156,29 +159,30 @@
     }
 }
 
-HandoverTaken handoverIn(OwnershipState &state, const Schema::Handover &handover,
-                         Common::Moment now)
+HandoverResult acceptHandover(OwnershipState &state, const Schema::Handover &handover,
+                              Common::Moment now)
 {
-    HandoverTaken taken;
-    // Ahead of us: the sender repeats it until our table and our journal have caught up. An intent
-    // that we lack would let a job of its start again.
+    HandoverResult result;
+    // The sender has read more of the log. It repeats the handover until our table and our journal
+    // have caught up. Without an intent from the journal, a job that has started could be started
+    // again.
     if (!onRoster(state.table, state.self.instance) || handoverAhead(state, handover)
         || state.journalOffset < handover.journalOffset) {
-        return taken;
+        return result;
     }
-    taken.accepted = true;
+    result.accepted = true;
     for (const Schema::ShardOwner &given : handover.shards) {
-        if (knownShard(state, given.shard) && takeShard(state, given, now)) {
-            taken.shards.push_back(given.shard);
+        if (knownShard(state, given.shard) && takeOverShard(state, given, now)) {
+            result.shards.push_back(given.shard);
         }
     }
     for (const Schema::UnloggedWindow &window :
          handover.unloggedWindows.value_or(std::vector<Schema::UnloggedWindow>{})) {
-        if (std::count(taken.shards.begin(), taken.shards.end(), window.shard) != 0) {
+        if (std::count(result.shards.begin(), result.shards.end(), window.shard) != 0) {
             roleOf(state, window.shard).windows.push_back(window);
         }
     }
-    return taken;
+    return result;
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Ownership/Quorum.cpp
+++ b/Source/Core/Dispatch/Ownership/Quorum.cpp
@@ -4,7 +4,7 @@
 #include "Dispatch/Ownership/OwnershipParts.h"
 #include "Dispatch/Persistence/Journal.h"
 
-/// Acknowledgements: of claims, of roster changes and of unlogged declarations.
+/// Acknowledgements of claims, roster changes and unlogged declarations.
 namespace Dispatch {
 
 namespace {
@@ -16,8 +16,9 @@
     return static_cast<std::size_t>(std::count_if(instances.begin(), instances.end(), holds));
 }
 
-/// Whether \a instance holds every declaration that we know of. A later roster's majority must,
-/// for a fence may ask none of those who acknowledged a declaration under the earlier roster.
+/// Whether \a instance knows every declaration that this gateway knows. A majority of the new
+/// roster must know them, because a fence may ask none of the gateways that acknowledged a
+/// declaration under the earlier roster.
 bool holdsOurNotices(const OwnershipState &state, const std::string &instance)
 {
     if (instance == state.self.instance) {
@@ -35,10 +36,10 @@
 bool rosterChangeAcknowledged(const OwnershipState &state)
 {
     const std::int64_t version = state.table.rosterOffset * EpochStep;
-    return blocksMajorities(previousInstances(state.table),
-                            [&](const std::string &instance) {
-                                return acknowledged(state, instance, version);
-                            })
+    return intersectsEveryMajority(previousInstances(state.table),
+                                   [&](const std::string &instance) {
+                                       return acknowledged(state, instance, version);
+                                   })
            && isMajority(rosterInstances(state.table), [&](const std::string &instance) {
                   return acknowledged(state, instance, version) && holdsOurNotices(state, instance);
               });
@@ -54,9 +55,11 @@
     return window;
 }
 
-/// Every declaration that those who acknowledged the claim hold: whoever may have started a job of
-/// the shard unlogged had a majority hold its declaration before, and every majority has one of
-/// those asked here. A declaration acknowledged later reaches a declarer who knows of the claim.
+/// Collects every declaration known to this gateway and its peers, including those that
+/// acknowledged the claim. A gateway that may have started a job of the shard unlogged had its
+/// declaration acknowledged by a majority before, and every majority contains one of the gateways
+/// that acknowledged the claim. If a declaration is acknowledged later, the declaring gateway
+/// learns of the claim with the acknowledgement.
 std::vector<Schema::UnloggedWindow> collectWindows(const OwnershipState &state, std::int64_t shard)
 {
     std::map<std::string, std::int64_t> since = state.notices;
@@ -101,12 +104,12 @@
         return true;
     }
     const std::int64_t version = (epochBase(role.epoch) + 1) * EpochStep;
-    return fenced(state, [&](const std::string &instance) {
+    return isFenceQuorum(state, [&](const std::string &instance) {
         return acknowledged(state, instance, version);
     });
 }
 
-bool leaseOver(const OwnershipState &state, std::int64_t sinceMs, Common::Moment now)
+bool leaseExpired(const OwnershipState &state, std::int64_t sinceMs, Common::Moment now)
 {
     return !state.settings.safeguards.leaseWait
            || now.steadyMs - sinceMs >= leaseWithMargin(state.settings);
@@ -119,7 +122,7 @@
     return settings.leaseMs + settings.leaseMs / LeaseMarginDivisor + 1;
 }
 
-bool blocksMajorities(const std::vector<std::string> &instances, const InstanceTest &holds)
+bool intersectsEveryMajority(const std::vector<std::string> &instances, const InstanceTest &holds)
 {
     return 2 * countOf(instances, holds) >= instances.size();
 }
@@ -140,10 +143,11 @@
     });
 }
 
-bool fenced(const OwnershipState &state, const InstanceTest &holds)
+bool isFenceQuorum(const OwnershipState &state, const InstanceTest &holds)
 {
-    return blocksMajorities(rosterInstances(state.table), holds)
-           && (state.rosterSettled || blocksMajorities(previousInstances(state.table), holds));
+    return intersectsEveryMajority(rosterInstances(state.table), holds)
+           && (state.rosterSettled
+               || intersectsEveryMajority(previousInstances(state.table), holds));
 }
 
 bool acknowledged(const OwnershipState &state, const std::string &instance, std::int64_t version)
@@ -171,7 +175,7 @@
         state.rosterAckedMs = now.steadyMs;
     }
     if (!state.rosterSettled) {
-        state.rosterSettled = leaseOver(state, state.rosterAckedMs, now);
+        state.rosterSettled = leaseExpired(state, state.rosterAckedMs, now);
     }
 }
 
@@ -183,9 +187,9 @@
         if (role.phase == ShardPhase::Claimed && claimAcknowledged(state, role)) {
             enterFencing(state, shard, role, now);
         }
-        if (role.phase == ShardPhase::Fencing && leaseOver(state, role.phaseSinceMs, now)) {
+        if (role.phase == ShardPhase::Fencing && leaseExpired(state, role.phaseSinceMs, now)) {
             endFencing(state, role, now);
-            effects.push_back(Note{
+            effects.push_back(LogLine{
                     "shard_fenced",
                     {{"shard", std::to_string(shard)}, {"epoch", std::to_string(role.epoch)}}});
         }
@@ -217,8 +221,8 @@
     }
     for (Schema::UnloggedWindow &own : role.windows) {
         for (const Schema::UnloggedWindow &known : windows) {
-            // An earlier successor has fenced that owner: what it declared ended then. An owner
-            // that gets the shard back declares anew, with another time.
+            // An earlier successor has fenced that owner, which ended the declared period. An owner
+            // that gets the shard back makes a new declaration with another time.
             if (known.shard == shard && known.instance == own.instance
                 && known.sinceMs == own.sinceMs) {
                 own.untilMs = std::min(own.untilMs, known.untilMs);
@@ -234,7 +238,7 @@
     role.phaseSinceMs = now.steadyMs;
 }
 
-void retireNotices(OwnershipState &state, Common::Moment now)
+void expireNotices(OwnershipState &state, Common::Moment now)
 {
     const bool allOwned = std::all_of(
             state.table.shards.begin(), state.table.shards.end(),
--- a/Source/Core/Dispatch/Persistence/Journal.cpp
+++ b/Source/Core/Dispatch/Persistence/Journal.cpp
@@ -39,9 +39,9 @@
 JournalBatch makeBatch(JournalState &state, Common::Moment now, Common::Random &random)
 {
     JournalBatch batch;
-    if (!state.marks.empty()) {
-        batch.record = std::move(state.marks.front());
-        state.marks.pop_front();
+    if (!state.pendingMarkers.empty()) {
+        batch.record = std::move(state.pendingMarkers.front());
+        state.pendingMarkers.pop_front();
         return batch;
     }
     batch.record = makeRecord(state.self, Schema::RecordKind::Intents, now, random);
@@ -72,9 +72,10 @@
     return oldest;
 }
 
-/// A declaration covers the submission times of all that it lets start: a successor answers just
-/// the ids of those times with unknown. A resubmission may be older than the outage, so the
-/// declaration starts at the oldest job held, not at the time it is made.
+/// A declaration covers the submission times of all jobs that it allows to start, because a
+/// successor answers unknown only for the ids of those times. A resubmission may be older than the
+/// outage, so the declaration begins at the oldest submission held instead of the time at which it
+/// is made.
 Effects declareUnlogged(JournalState &state, Common::Moment now)
 {
     if (state.held.empty()) {
@@ -96,7 +97,7 @@
     }
     state.unloggedSinceMs = sinceMs;
     state.lastDeclaredMs = sinceMs;
-    return {Note{"journal_unlogged", {{"since_ms", std::to_string(sinceMs)}}}};
+    return {LogLine{"journal_unlogged", {{"since_ms", std::to_string(sinceMs)}}}};
 }
 
 void readWindows(JournalState &state, const Schema::LogRecord &record)
@@ -106,7 +107,7 @@
         state.windows.push_back(window);
     }
     if (record.instance == state.self) {
-        state.marksRead.push_back(record.id);
+        state.readMarkers.push_back(record.id);
     }
 }
 
@@ -118,7 +119,7 @@
     for (const Schema::Intent &intent : record.intents.value_or(std::vector<Schema::Intent>{})) {
         indexIntent(state.index, intent, state.settings.dedupWindowMs, now.wallMs);
     }
-    // The answer to the append was lost, but the log has it.
+    // The answer to the append was lost, but the record is in the log.
     if (state.batch && state.batch->record.id == record.id) {
         batchDurable(state, now);
     }
@@ -185,7 +186,7 @@
         }
         return effects;
     }
-    const bool waiting = !state.held.empty() || !state.marks.empty();
+    const bool waiting = !state.held.empty() || !state.pendingMarkers.empty();
     if (waiting && now.steadyMs - state.lastAppendMs >= state.settings.batchMs) {
         state.batch = makeBatch(state, now, random);
         append(effects, sendBatch(state, nextBatch, now));
@@ -193,8 +194,8 @@
     return effects;
 }
 
-Effects journalAppendDone(JournalState &state, std::uint64_t batch, AppendStatus status,
-                          Common::Moment now)
+Effects handleJournalAppendResult(JournalState &state, std::uint64_t batch, AppendStatus status,
+                                  Common::Moment now)
 {
     if (!state.batch || state.batch->batch != batch) {
         return {};
@@ -203,20 +204,20 @@
         batchDurable(state, now);
         return {};
     }
-    // Sent again whole and under the same record id: if it was written after all, readers see the
-    // same intents twice, which is one.
+    // The whole batch is sent again under the same record id. If it was written after all, readers
+    // see the same intents twice, which has no further effect.
     state.batch->inFlight = false;
     state.batch->retryAtMs = now.steadyMs + state.settings.retryMs;
     return {CountReason{"journal_append_retries", Schema::Reason::LogUnavailable}};
 }
 
-Effects journalRead(JournalState &state, const LogRead &read, Common::Moment now)
+Effects handleJournalRead(JournalState &state, const LogRead &read, Common::Moment now)
 {
     Effects effects;
     if (read.oldestOffset > state.readOffset && state.readOnce) {
-        effects.push_back(Note{"journal_gap",
-                               {{"from", std::to_string(state.readOffset)},
-                                {"to", std::to_string(read.oldestOffset)}}});
+        effects.push_back(LogLine{"journal_gap",
+                                  {{"from", std::to_string(state.readOffset)},
+                                   {"to", std::to_string(read.oldestOffset)}}});
     }
     for (const Schema::LogEntry &entry : read.entries) {
         if (entry.offset >= state.readOffset) {
@@ -238,20 +239,20 @@
     state.acknowledgedSinceMs = 0;
 }
 
-std::string markShardsTaken(JournalState &state, std::vector<Schema::ShardOwner> shards,
-                            std::vector<Schema::UnloggedWindow> windows, Common::Moment now,
-                            Common::Random &random)
+std::string appendShardsTakenMarker(JournalState &state, std::vector<Schema::ShardOwner> shards,
+                                    std::vector<Schema::UnloggedWindow> windows, Common::Moment now,
+                                    Common::Random &random)
 {
     Schema::LogRecord record = makeRecord(state.self, Schema::RecordKind::ShardsTaken, now, random);
     record.shards = std::move(shards);
     record.unloggedWindows = std::move(windows);
-    state.marks.push_back(record);
+    state.pendingMarkers.push_back(record);
     return record.id;
 }
 
-std::vector<std::string> takeMarksRead(JournalState &state)
+std::vector<std::string> takeReadMarkers(JournalState &state)
 {
-    return std::exchange(state.marksRead, {});
+    return std::exchange(state.readMarkers, {});
 }
 
 std::optional<JournaledIntent> findIntent(const JournalState &state, const std::string &job)
--- a/Source/Core/Dispatch/Persistence/Ledger.cpp
+++ b/Source/Core/Dispatch/Persistence/Ledger.cpp
@@ -39,7 +39,7 @@
     }
     if (first + state.settings.dedupWindowMs <= now.wallMs) {
         return Common::failure(Reason::SubmissionTooOld,
-                               "first submitted longer ago than ids are remembered");
+                               "the first submission is older than the dedup window");
     }
     if (deadlineOf(state, submit) <= now.wallMs) {
         return Common::failure(Reason::DeadlinePassed, "the deadline has passed");
@@ -61,23 +61,23 @@
     return std::min(submit.deadlineMs.value_or(first + state.settings.defaultDeadlineMs), latest);
 }
 
-SubmitVerdict lookUp(const LedgerState &state, const Schema::SubmitJob &submit)
+SubmissionStatus lookUpSubmission(const LedgerState &state, const Schema::SubmitJob &submit)
 {
     const JobEntry *job = findJob(state, submit.id.value_or(""));
     if (job == nullptr) {
-        return SubmitVerdict::New;
+        return SubmissionStatus::New;
     }
     if (!job->digest.empty() && job->digest != submissionDigest(submit)) {
-        return SubmitVerdict::Conflict;
+        return SubmissionStatus::Conflict;
     }
     if (job->answer) {
-        // A cancelled job stays cancelled: a resubmission that crossed the cancellation would
-        // otherwise revive it.
+        // A cancelled job stays cancelled. Otherwise a resubmission that crossed the cancellation
+        // would start it again.
         const bool mayTryAgain = job->answer->outcome == JobOutcome::Refused
                                  && job->answer->reason != Reason::Cancelled;
-        return mayTryAgain ? SubmitVerdict::Refused : SubmitVerdict::Ended;
+        return mayTryAgain ? SubmissionStatus::Refused : SubmissionStatus::Ended;
     }
-    return job->submit ? SubmitVerdict::Pending : SubmitVerdict::Recovered;
+    return job->submit ? SubmissionStatus::Pending : SubmissionStatus::Recovered;
 }
 
 JobEntry &insertJob(LedgerState &state, JobEntry job)
@@ -95,12 +95,13 @@
     JobEntry job;
     job.id = submit.id.value_or("");
     job.digest = submissionDigest(submit);
-    takeContent(job, submit);
+    setContent(job, submit);
     job.shard = shardOf(state, job.id);
     job.firstSubmittedMs = submit.firstSubmittedMs.value_or(0);
     job.deadlineMs = deadlineOf(state, submit);
     job.tasks.resize(submit.tasks.size());
-    Common::invariant(state.jobs.count(job.id) == 0, "a known id is never added again", job.id);
+    Common::invariant(state.jobs.count(job.id) == 0, "an id is added only if it is unknown",
+                      job.id);
     return insertJob(state, std::move(job));
 }
 
@@ -123,7 +124,7 @@
 void adoptSubmission(LedgerState &state, JobEntry &job, const Schema::SubmitJob &submit)
 {
     eraseFrom(state.deadlines, job.deadlineMs, job.id);
-    takeContent(job, submit);
+    setContent(job, submit);
     job.digest = submissionDigest(submit);
     job.deadlineMs = deadlineOf(state, submit);
     state.deadlines.emplace(job.deadlineMs, job.id);
@@ -145,9 +146,9 @@
 {
     Common::invariant(!job.answer, "a job ends once", job.id);
     Common::invariant(answer.results.has_value() == (answer.outcome == JobOutcome::Completed),
-                      "an answer is whole or has no results", job.id);
+                      "an answer has results if and only if its job completed", job.id);
     Common::invariant(!answer.notRun || countStages(job).started() == 0,
-                      "not run is said only when no task may have started", job.id);
+                      "notRun is set only if no task may have started", job.id);
     eraseFrom(state.deadlines, job.deadlineMs, job.id);
     for (TaskEntry &task : job.tasks) {
         if (task.stage == TaskStage::Waiting) {
@@ -173,19 +174,19 @@
     return jobs;
 }
 
-std::size_t forgetExpired(LedgerState &state, Common::Moment now)
+std::size_t removeExpiredJobs(LedgerState &state, Common::Moment now)
 {
-    std::size_t forgotten = 0;
+    std::size_t removed = 0;
     while (!state.expiries.empty() && state.expiries.begin()->first <= now.wallMs) {
         const auto job = state.jobs.find(state.expiries.begin()->second);
         if (job != state.jobs.end()) {
             eraseFrom(state.deadlines, job->second.deadlineMs, job->first);
             state.jobs.erase(job);
-            ++forgotten;
+            ++removed;
         }
         state.expiries.erase(state.expiries.begin());
     }
-    return forgotten;
+    return removed;
 }
 
 std::vector<std::string> jobsOfShard(const LedgerState &state, std::int64_t shard)
--- a/Source/Core/Dispatch/Persistence/Recovery.cpp
+++ b/Source/Core/Dispatch/Persistence/Recovery.cpp
@@ -2,18 +2,19 @@
 
 #include <algorithm>
 
-#include "Dispatch/Jobs/JobEnd.h"
+#include "Dispatch/Jobs/JobCompletion.h"
 #include "Dispatch/Jobs/TaskReports.h"
 
 namespace Dispatch {
 
 namespace {
 
-/// How long a takeover waits for agents and gateways before it serves without their word. It covers
-/// a reconnection of a live agent; each of its tasks that stays unknown is answered so.
+/// A takeover waits this many times agentSilenceMs for the answers of agents and gateways before it
+/// serves the shards without them. This covers a reconnection of a live agent. Each task that is
+/// still unknown then is answered unknown.
 constexpr std::int64_t ReportWaitFactor = 2;
-/// An agent that one gateway lost may have been sent a task by another a little later, and clocks
-/// of callers differ.
+/// Allows for an agent that one gateway lost and another gateway sent a task to a little later, and
+/// for differences between the clocks of callers.
 constexpr std::int64_t ClockMarginMs = 5'000;
 
 std::vector<Schema::ShardOwner> ownEpochs(const GatewayState &state,
@@ -30,8 +31,8 @@
     return epochs;
 }
 
-Effect askFrame(const GatewayState &state, const std::string &agent, const std::string &requestId,
-                const std::vector<std::int64_t> &shards)
+Effect askTasksEffect(const GatewayState &state, const std::string &agent,
+                      const std::string &requestId, const std::vector<std::int64_t> &shards)
 {
     Schema::Frame frame = frameOf(Schema::FrameType::AskTasks);
     frame.askTasks.emplace();
@@ -40,17 +41,18 @@
     return SendToAgent{agent, std::move(frame)};
 }
 
-std::string nextQuestion(GatewayState &state)
+std::string nextQuestionId(GatewayState &state)
 {
-    return "q" + std::to_string(++state.lastQuestion);
+    return "q" + std::to_string(++state.lastRequestNumber);
 }
 
-std::int64_t completeSince(const GatewayState &state, Common::Moment now)
+std::int64_t agentListCompleteSince(const GatewayState &state, Common::Moment now)
 {
     const std::int64_t sinceStart = state.startedWallMs;
     const std::int64_t lastGoneWall =
-            state.agents.lastGoneMs == 0 ? 0
-                                         : now.wallMs - (now.steadyMs - state.agents.lastGoneMs);
+            state.agents.lastRemovalMs == 0
+                    ? 0
+                    : now.wallMs - (now.steadyMs - state.agents.lastRemovalMs);
     return std::max(sinceStart, lastGoneWall) + state.settings.agentSilenceMs + ClockMarginMs;
 }
 
@@ -66,10 +68,10 @@
 Effects askNewAgents(GatewayState &state, Takeover &takeover)
 {
     Effects effects;
-    for (const std::string &agent : linkedAgents(state.agents)) {
+    for (const std::string &agent : connectedAgents(state.agents)) {
         if (takeover.agentsAsked.insert(agent).second) {
             takeover.agentsKnown.insert(agent);
-            effects.push_back(askFrame(state, agent, takeover.requestId, takeover.shards));
+            effects.push_back(askTasksEffect(state, agent, takeover.requestId, takeover.shards));
         }
     }
     return effects;
@@ -107,11 +109,12 @@
     if (takeover.shards.empty()) {
         return {};
     }
-    takeover.requestId = nextQuestion(state);
+    takeover.requestId = nextQuestionId(state);
     takeover.startedMs = now.steadyMs;
     takeover.gatewaysAnswered.insert(state.self.instance);
-    takeover.completeSinceMs = completeSince(state, now);
-    Effects effects{Note{"takeover_begun", {{"shards", std::to_string(takeover.shards.size())}}}};
+    takeover.completeSinceMs = agentListCompleteSince(state, now);
+    Effects effects{
+            LogLine{"takeover_begun", {{"shards", std::to_string(takeover.shards.size())}}}};
     state.recovery.takeovers.push_back(std::move(takeover));
     return effects;
 }
@@ -133,8 +136,10 @@
                             takeover.agentsKnown.begin(), takeover.agentsKnown.end());
 }
 
-/// Settles the tasks that nobody has told of: not started where that is proved, lost elsewhere.
-Effects settleTraces(GatewayState &state, std::int64_t shard, std::int64_t provenSinceMs)
+/// Resolves the tasks that no agent has reported: as not started if the job was first submitted at
+/// or after \a provenNotStartedSinceMs, as lost otherwise.
+Effects resolveUnreportedTasks(GatewayState &state, std::int64_t shard,
+                               std::int64_t provenNotStartedSinceMs)
 {
     Effects effects;
     for (const std::string &id : jobsOfShard(state.ledger, shard)) {
@@ -147,7 +152,7 @@
             if (task.stage != TaskStage::Sent || !task.agent.empty()) {
                 continue;
             }
-            if (job->firstSubmittedMs >= provenSinceMs) {
+            if (job->firstSubmittedMs >= provenNotStartedSinceMs) {
                 markNotStarted(*job, static_cast<std::int64_t>(index));
             } else {
                 markLost(*job, static_cast<std::int64_t>(index));
@@ -161,18 +166,18 @@
 Effects endTakeover(GatewayState &state, const Takeover &takeover, bool isComplete,
                     Common::Moment now)
 {
-    const std::int64_t provenSinceMs =
+    const std::int64_t provenNotStartedSinceMs =
             isComplete ? takeover.completeSinceMs : now.wallMs + ClockMarginMs;
-    Effects effects{Note{"takeover_ended",
-                         {{"shards", std::to_string(takeover.shards.size())},
-                          {"complete", isComplete ? "true" : "false"},
-                          {"agents", std::to_string(takeover.agentsAnswered.size())}}}};
+    Effects effects{LogLine{"takeover_ended",
+                            {{"shards", std::to_string(takeover.shards.size())},
+                             {"complete", isComplete ? "true" : "false"},
+                             {"agents", std::to_string(takeover.agentsAnswered.size())}}}};
     for (const std::int64_t shard : takeover.shards) {
         if (shardPhase(state.site.ownership, shard) != ShardPhase::NeedsReports) {
             continue;
         }
-        state.recovery.provenSinceMs[shard] = provenSinceMs;
-        append(effects, settleTraces(state, shard, provenSinceMs));
+        state.recovery.provenNotStartedSinceMs[shard] = provenNotStartedSinceMs;
+        append(effects, resolveUnreportedTasks(state, shard, provenNotStartedSinceMs));
         serveShard(state.site, shard, now);
     }
     return effects;
@@ -186,7 +191,7 @@
         listed.emplace(task.job, task.index);
     }
     std::vector<SentTask> unlisted;
-    for (const SentTask &sent : record.questionTasks) {
+    for (const SentTask &sent : record.requestedTasks) {
         if (listed.count({sent.task.job, sent.task.index}) == 0) {
             unlisted.push_back(sent);
         }
@@ -216,8 +221,8 @@
     return effects;
 }
 
-Effects agentsAskedFor(const GatewayState &state, const std::string &gateway,
-                       const Schema::AskAgents &ask, Common::Moment now)
+Effects handleAskAgents(const GatewayState &state, const std::string &gateway,
+                        const Schema::AskAgents &ask, Common::Moment now)
 {
     Schema::Frame frame = frameOf(Schema::FrameType::KnownAgents);
     Schema::KnownAgents &known = frame.knownAgents.emplace();
@@ -226,11 +231,11 @@
     for (const auto &[agent, record] : state.agents.agents) {
         known.agents.push_back(agent);
     }
-    known.completeSinceMs = completeSince(state, now);
+    known.completeSinceMs = agentListCompleteSince(state, now);
     return {SendToGateway{gateway, std::move(frame)}};
 }
 
-Effects knownAgentsHeard(GatewayState &state, const Schema::KnownAgents &known)
+Effects handleKnownAgents(GatewayState &state, const Schema::KnownAgents &known)
 {
     for (Takeover &takeover : state.recovery.takeovers) {
         if (takeover.requestId == known.requestId) {
@@ -249,23 +254,24 @@
         return {};
     }
     std::set<std::int64_t> shards;
-    record.questionTasks.clear();
+    record.requestedTasks.clear();
     for (const auto &[id, index] : record.tasks) {
         shards.insert(shardOf(state.ledger, id));
         const JobEntry *job = findJob(state.ledger, id);
         if (job != nullptr) {
             const TaskEntry &task = job->tasks[static_cast<std::size_t>(index)];
-            record.questionTasks.push_back(
+            record.requestedTasks.push_back(
                     {{id, static_cast<int>(index)}, task.epoch, task.attempt});
         }
     }
-    record.openQuestion = nextQuestion(state);
-    return {askFrame(state, agent, record.openQuestion, {shards.begin(), shards.end()})};
+    record.pendingReportRequest = nextQuestionId(state);
+    return {askTasksEffect(state, agent, record.pendingReportRequest,
+                           {shards.begin(), shards.end()})};
 }
 
-Effects questionAnswered(GatewayState &state, const std::string &agent,
-                         const Schema::TaskStates &report, Common::Moment now,
-                         Common::Random &random)
+Effects handleTaskStatesAnswer(GatewayState &state, const std::string &agent,
+                               const Schema::TaskStates &report, Common::Moment now,
+                               Common::Random &random)
 {
     const std::string question = report.answerTo.value_or("");
     for (Takeover &takeover : state.recovery.takeovers) {
@@ -275,10 +281,10 @@
     }
     const auto found = state.agents.agents.find(agent);
     if (question.empty() || found == state.agents.agents.end()
-        || found->second.openQuestion != question) {
+        || found->second.pendingReportRequest != question) {
         return {};
     }
-    found->second.openQuestion.clear();
+    found->second.pendingReportRequest.clear();
     Schema::TaskStates missing;
     for (const SentTask &sent : unlistedTasks(found->second, report)) {
         Schema::TaskState row;
@@ -290,7 +296,7 @@
         row.reason = Schema::Reason::ConnectionLost;
         missing.states.push_back(std::move(row));
     }
-    return tasksReported(state, agent, missing, now, random);
+    return handleTaskReports(state, agent, missing, now, random);
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Scheduling/RetryBudget.cpp
+++ b/Source/Core/Dispatch/Scheduling/RetryBudget.cpp
@@ -5,15 +5,17 @@
 namespace Dispatch {
 namespace {
 
-/// The first retry goes elsewhere soon: at most a tenth of the shortest common task.
+/// The first retry follows soon, after at most a tenth of the run time of the shortest common
+/// tasks.
 constexpr std::int64_t FirstBackoffMs = 5;
 constexpr std::int64_t BackoffGrowth = 3;
 constexpr std::int64_t MaxBackoffMs = 2000;
-constexpr std::int64_t OverBudgetMs = 500;
+/// Added to the back-off while no token is left.
+constexpr std::int64_t OverBudgetDelayMs = 500;
 
 } // namespace
 
-void startCounted(RetryBudget &budget)
+void earnRetryTokens(RetryBudget &budget)
 {
     budget.tokens = std::min(budget.tokens + RetryTokensPerStart, MaxRetryTokens);
 }
@@ -26,7 +28,7 @@
     }
     const auto jitter = static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(bound + 1));
     if (budget.tokens < 1) {
-        return OverBudgetMs + jitter;
+        return OverBudgetDelayMs + jitter;
     }
     budget.tokens -= 1;
     return jitter;
--- a/Source/Core/Dispatch/Scheduling/SlotReserve.cpp
+++ b/Source/Core/Dispatch/Scheduling/SlotReserve.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr double MaxReservedShare = 0.25;
-/// Room for a short burst above the last peak.
+/// Leaves room for a short burst above the last peak.
 constexpr double PeakHeadroom = 1.25;
-/// Longer than a long task runs, so that one batch of them does not wear the reserve away.
+/// Longer than a long task runs, so that the reserve outlasts one batch of long tasks.
 constexpr double PeakHalfLifeMs = 10000;
 
 double decayedPeak(const SlotReserve &reserve, std::int64_t nowMs)
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void reserveStarted(SlotReserve &reserve, bool isLong, std::int64_t nowMs)
+void recordTaskStarted(SlotReserve &reserve, bool isLong, std::int64_t nowMs)
 {
     if (isLong) {
         reserve.longInFlight += 1;
@@ -32,7 +32,7 @@
     reserve.peakAtMs = nowMs;
 }
 
-void reserveEnded(SlotReserve &reserve, bool isLong)
+void recordTaskEnded(SlotReserve &reserve, bool isLong)
 {
     (isLong ? reserve.longInFlight : reserve.shortInFlight) -= 1;
 }
--- a/Source/Core/Dispatch/Site.cpp
+++ b/Source/Core/Dispatch/Site.cpp
@@ -20,15 +20,16 @@
     return own;
 }
 
-/// Fenced shards get one mark in the journal: what is read up to it is all that can matter.
-void markFencedShards(SiteState &site, Common::Moment now, Common::Random &random)
+/// Appends one marker to the journal for all newly fenced shards. Earlier owners can't add relevant
+/// records after it, so reading the journal up to the marker is enough.
+void appendFencedShardsMarker(SiteState &site, Common::Moment now, Common::Random &random)
 {
     std::vector<Schema::ShardOwner> shards;
     std::vector<Schema::UnloggedWindow> windows;
     std::vector<ShardRole *> roles;
     for (const std::int64_t shard : shardsIn(site.ownership, ShardPhase::NeedsJournal)) {
         ShardRole &role = site.ownership.roles[static_cast<std::size_t>(shard)];
-        if (!role.journalMark.empty()) {
+        if (!role.journalMarkerId.empty()) {
             continue;
         }
         Schema::ShardOwner owner;
@@ -42,26 +43,27 @@
     if (shards.empty()) {
         return;
     }
-    const std::string mark =
-            markShardsTaken(site.journal, std::move(shards), std::move(windows), now, random);
+    const std::string marker = appendShardsTakenMarker(site.journal, std::move(shards),
+                                                       std::move(windows), now, random);
     for (ShardRole *role : roles) {
-        role->journalMark = mark;
+        role->journalMarkerId = marker;
     }
 }
 
-void passMarks(SiteState &site, Common::Moment now)
+void handleReadMarkers(SiteState &site, Common::Moment now)
 {
-    for (const std::string &mark : takeMarksRead(site.journal)) {
+    for (const std::string &marker : takeReadMarkers(site.journal)) {
         for (const std::int64_t shard : shardsIn(site.ownership, ShardPhase::NeedsJournal)) {
-            if (site.ownership.roles[static_cast<std::size_t>(shard)].journalMark == mark) {
+            if (site.ownership.roles[static_cast<std::size_t>(shard)].journalMarkerId == marker) {
                 shardJournalRead(site.ownership, shard, site.journal.windows, now);
             }
         }
     }
 }
 
-/// The declaration goes out with heartbeats, and its acknowledgement lets starts go on.
-void exchangeDeclarations(SiteState &site)
+/// Passes the journal's declaration of unlogged starts to the heartbeats, and the majority's
+/// acknowledgement back to the journal, which then allows unlogged starts.
+void updateDeclarations(SiteState &site)
 {
     setDeclaration(site.ownership, site.journal.unloggedSinceMs);
     if (site.journal.unloggedSinceMs != 0
@@ -70,7 +72,7 @@
     }
 }
 
-void fillPings(SiteState &site, Effects &effects)
+void addConfigurationToPings(SiteState &site, Effects &effects)
 {
     for (Effect &effect : effects) {
         auto *send = std::get_if<SendToGateway>(&effect);
@@ -78,10 +80,10 @@
             continue;
         }
         const auto peer = site.ownership.peers.find(send->instance);
-        const bool behind = peer != site.ownership.peers.end() && peer->second.heard
-                            && peer->second.configVersion < site.config.inForce.version;
-        if (behind) {
-            send->frame.peerPing->configuration = site.config.inForce;
+        const bool isBehind = peer != site.ownership.peers.end() && peer->second.pingReceived
+                              && peer->second.configVersion < site.config.current.version;
+        if (isBehind) {
+            send->frame.peerPing->configuration = site.config.current;
         }
     }
 }
@@ -105,33 +107,34 @@
     return site;
 }
 
-Effects logRead(SiteState &site, LogStream stream, const LogRead &read, Common::Moment now)
+Effects handleSiteLogRead(SiteState &site, LogStream stream, const LogRead &read,
+                          Common::Moment now)
 {
     switch (stream) {
     case LogStream::Control:
-        return controlRead(site.ownership, read, now);
+        return handleControlRead(site.ownership, read, now);
     case LogStream::Journal: {
-        Effects effects = journalRead(site.journal, read, now);
+        Effects effects = handleJournalRead(site.journal, read, now);
         site.ownership.journalOffset = site.journal.readOffset;
-        passMarks(site, now);
+        handleReadMarkers(site, now);
         return effects;
     }
     case LogStream::Config:
-        return configRead(site.config, read, now);
+        return handleConfigRead(site.config, read, now);
     }
     return {};
 }
 
-Effects appendDone(SiteState &site, LogStream stream, std::uint64_t batch, AppendStatus status,
-                   Common::Moment now)
+Effects handleSiteAppendResult(SiteState &site, LogStream stream, std::uint64_t batch,
+                               AppendStatus status, Common::Moment now)
 {
     switch (stream) {
     case LogStream::Control:
-        return controlAppendDone(site.ownership, batch, status, now);
+        return handleControlAppendResult(site.ownership, batch, status, now);
     case LogStream::Journal:
-        return journalAppendDone(site.journal, batch, status, now);
+        return handleJournalAppendResult(site.journal, batch, status, now);
     case LogStream::Config:
-        return configAppendDone(site.config, batch, status, now);
+        return handleConfigAppendResult(site.config, batch, status, now);
     }
     return {};
 }
@@ -139,23 +142,23 @@
 Effects siteTick(SiteState &site, Common::Moment now, Common::Random &random)
 {
     Effects effects = journalTick(site.journal, site.nextBatch, now, random);
-    exchangeDeclarations(site);
-    site.ownership.configVersion = site.config.inForce.version;
+    updateDeclarations(site);
+    site.ownership.configVersion = site.config.current.version;
     append(effects, ownershipTick(site.ownership, site.nextBatch, now, random));
-    markFencedShards(site, now, random);
+    appendFencedShardsMarker(site, now, random);
     append(effects,
            configTick(site.config, site.nextBatch, isFirstLive(site.ownership, now), now, random));
-    fillPings(site, effects);
+    addConfigurationToPings(site, effects);
     return effects;
 }
 
-Effects pingHeard(SiteState &site, const Schema::PeerPing &ping, Common::Moment now)
+Effects handlePing(SiteState &site, const Schema::PeerPing &ping, Common::Moment now)
 {
-    site.ownership.configVersion = site.config.inForce.version;
+    site.ownership.configVersion = site.config.current.version;
     setDeclaration(site.ownership, site.journal.unloggedSinceMs);
-    Effects effects = peerHeard(site.ownership, ping, now);
-    exchangeDeclarations(site);
-    peerHasVersion(site.config, ping.configVersion);
+    Effects effects = handlePeerPing(site.ownership, ping, now);
+    updateDeclarations(site);
+    updatePeerVersion(site.config, ping.configVersion);
     const auto peer = site.ownership.peers.find(ping.instance);
     if (peer != site.ownership.peers.end()) {
         peer->second.configVersion = ping.configVersion;
@@ -163,20 +166,20 @@
     if (ping.configuration) {
         adoptConfiguration(site.config, *ping.configuration);
     }
-    fillPings(site, effects);
+    addConfigurationToPings(site, effects);
     return effects;
 }
 
 void serveShard(SiteState &site, std::int64_t shard, Common::Moment now)
 {
-    shardServing(site.ownership, shard, now);
+    markShardServing(site.ownership, shard, now);
     redeclare(site.journal);
 }
 
-HandoverTaken takeHandover(SiteState &site, const Schema::Handover &handover, Common::Moment now)
+HandoverResult takeHandover(SiteState &site, const Schema::Handover &handover, Common::Moment now)
 {
     site.ownership.journalOffset = site.journal.readOffset;
-    HandoverTaken taken = handoverIn(site.ownership, handover, now);
+    HandoverResult taken = acceptHandover(site.ownership, handover, now);
     if (!taken.shards.empty()) {
         redeclare(site.journal);
     }
@@ -189,8 +192,9 @@
         return JobHistory::Journaled;
     }
     const std::int64_t shard = shardOf(site.ownership, job);
-    return predecessorUnlogged(site.ownership, shard, firstSubmittedMs) ? JobHistory::Unknown
-                                                                        : JobHistory::NeverStarted;
+    return mayHaveStartedUnlogged(site.ownership, shard, firstSubmittedMs)
+                   ? JobHistory::Unknown
+                   : JobHistory::NeverStarted;
 }
 
 IntentState startAllowed(const SiteState &site, const std::string &job, Common::Moment now)
--- a/Source/Core/Gateway/GatewayDaemon.cpp
+++ b/Source/Core/Gateway/GatewayDaemon.cpp
@@ -17,15 +17,16 @@
 
 namespace {
 
-/// Longest wait for an event: bounds how late a timer of the decisions can fire.
+/// Longest wait for an event, and so the longest delay of a timer in the decision code.
 constexpr std::chrono::milliseconds TickMs{5};
-/// After the last answer a caller's connection gets this long to take it.
+/// How long the daemon still runs after the last answer, so that the answer can be written to the
+/// caller's connection.
 constexpr std::int64_t LingerMs = 200;
 
 } // namespace
 
-/// The control loop: events go to the part that they concern, and what decisions ask for is carried
-/// out by it.
+/// The control loop: passes each event to the component that handles it, and each effect of a
+/// decision to the component that carries it out.
 struct GatewayDaemon::Implementation
 {
     explicit Implementation(const Schema::GatewaySettings &settings);
@@ -50,13 +51,13 @@
     void carryOut(const Dispatch::AnswerConfigure &answer) { this->callers.answer(answer); }
     void carryOut(const Dispatch::AnswerQuery &answer) { this->callers.answer(answer); }
     void carryOut(const Dispatch::CountReason &count);
-    void carryOut(const Dispatch::Note &note);
+    void carryOut(const Dispatch::LogLine &note);
 
     GatewayControl control;
     ControlMailbox mailbox;
     std::int64_t lastHousekeepingMs = 0;
 
-    // Last, so that their threads end before what they post to.
+    // Declared last, so that their threads end before the mailbox they post to is destroyed.
     GatewayLinks links;
     GatewayLog log;
     GatewayCallers callers;
@@ -105,7 +106,7 @@
 
 bool GatewayDaemon::Implementation::run()
 {
-    std::int64_t stopBeganMs = 0;
+    std::int64_t stopStartedMs = 0;
     std::int64_t doneSinceMs = 0;
     while (true) {
         std::deque<ControlMessage> messages = this->mailbox.take(TickMs);
@@ -113,25 +114,26 @@
         for (ControlMessage &message : messages) {
             std::visit([this](auto &event) { this->on(event); }, message);
         }
-        this->carryOut(
-                Dispatch::settle(this->control.state, this->control.now, this->control.random));
+        this->carryOut(Dispatch::gatewayTick(this->control.state, this->control.now,
+                                             this->control.random));
         this->links.dialMembers();
         if (this->control.now.steadyMs
             >= this->lastHousekeepingMs + this->control.settings.heartbeatMs) {
             this->lastHousekeepingMs = this->control.now.steadyMs;
-            this->links.dropSilentLinks();
+            this->links.closeSilentLinks();
             exportMetrics(this->control, this->links.traffic());
         }
         if (!this->control.state.stopping) {
             continue;
         }
-        stopBeganMs = stopBeganMs == 0 ? this->control.now.steadyMs : stopBeganMs;
-        const bool isDone = Dispatch::isStopped(this->control.state) && !this->callers.isOwing();
+        stopStartedMs = stopStartedMs == 0 ? this->control.now.steadyMs : stopStartedMs;
+        const bool isDone =
+                Dispatch::isStopped(this->control.state) && !this->callers.hasOpenRequests();
         doneSinceMs = isDone ? (doneSinceMs == 0 ? this->control.now.steadyMs : doneSinceMs) : 0;
         if (isDone && this->control.now.steadyMs >= doneSinceMs + LingerMs) {
             return true;
         }
-        if (this->control.now.steadyMs >= stopBeganMs + this->control.settings.stopTimeoutMs) {
+        if (this->control.now.steadyMs >= stopStartedMs + this->control.settings.stopTimeoutMs) {
             return false;
         }
     }
@@ -155,7 +157,7 @@
     this->control.metrics.count(count.counter, {{"reason", Schema::enumName(count.reason)}});
 }
 
-void GatewayDaemon::Implementation::carryOut(const Dispatch::Note &note)
+void GatewayDaemon::Implementation::carryOut(const Dispatch::LogLine &note)
 {
     Common::logEvent(LogLevel::Info, note.event, note.fields);
 }
@@ -191,13 +193,13 @@
 
 GatewayDaemonBuilder &GatewayDaemonBuilder::settings(Schema::GatewaySettings settings)
 {
-    this->chosen = std::move(settings);
+    this->chosenSettings = std::move(settings);
     return *this;
 }
 
 std::unique_ptr<GatewayDaemon> GatewayDaemonBuilder::build()
 {
-    auto implementation = std::make_unique<GatewayDaemon::Implementation>(this->chosen);
+    auto implementation = std::make_unique<GatewayDaemon::Implementation>(this->chosenSettings);
     implementation->start();
     return std::unique_ptr<GatewayDaemon>(new GatewayDaemon(std::move(implementation)));
 }
--- a/Source/Core/Gateway/GatewayLinks.h
+++ b/Source/Core/Gateway/GatewayLinks.h
@@ -11,17 +11,17 @@
 
 namespace Gateway {
 
-/// Links of the gateway daemon to agents and other gateways: dialled, told apart by their first
-/// frames, and given up when silent.
+/// Links of the gateway daemon to agents and other gateways. Dials members, identifies the peer of
+/// an accepted link by the first frame that names it, and closes silent links.
 class GatewayLinks
 {
 public:
-    /// The first two must outlive this.
-    GatewayLinks(GatewayControl &control, ControlMailbox &mailbox, CarryOutDispatch carryOut);
+    /// \a control and \a mailbox must outlive this object.
+    GatewayLinks(GatewayControl &control, ControlMailbox &mailbox, DispatchEffectHandler carryOut);
 
-    /// Listens for peers. Throws std::runtime_error where the address cannot be had.
+    /// Starts to listen for peers. Throws std::runtime_error if it cannot listen on the address.
     void start();
-    /// Named when its ports are known.
+    /// Sets the instance of this gateway, which is created once its ports are known.
     void setSelf(const std::string &instance);
     void stop();
     std::uint16_t port() const;
@@ -34,16 +34,16 @@
     void sendTo(const Dispatch::SendToAgent &send);
 
     void dialMembers();
-    void dropSilentLinks();
+    void closeSilentLinks();
 
 private:
-    void forgetLink(Net::LinkId id);
+    void closeLink(Net::LinkId id);
     void countSent(const Schema::Frame &frame);
     void countUndeliverable(const char *peer);
 
     GatewayControl &control;
     ControlMailbox &mailbox;
-    CarryOutDispatch carryOut;
+    DispatchEffectHandler carryOut;
     LinkTable links;
     std::map<std::string, std::int64_t> lastDialMs;
     std::uint16_t listenPort = 0;
--- a/Source/Core/Gateway/GatewayLog.cpp
+++ b/Source/Core/Gateway/GatewayLog.cpp
@@ -39,7 +39,8 @@
 
 } // namespace
 
-GatewayLog::GatewayLog(GatewayControl &control, ControlMailbox &mailbox, CarryOutDispatch carryOut)
+GatewayLog::GatewayLog(GatewayControl &control, ControlMailbox &mailbox,
+                       DispatchEffectHandler carryOut)
     : control(control)
     , mailbox(mailbox)
     , carryOut(std::move(carryOut))
@@ -79,15 +80,15 @@
     read.nextOffset = delivered.read.nextOffset;
     read.atEnd = delivered.read.atEnd;
     read.oldestOffset = delivered.read.oldestOffset;
-    this->carryOut(
-            Dispatch::logHeard(this->control.state, delivered.stream, read, this->control.now));
+    this->carryOut(Dispatch::handleLogRead(this->control.state, delivered.stream, read,
+                                           this->control.now));
 }
 
 void GatewayLog::on(const LogAppended &appended)
 {
-    this->carryOut(Dispatch::appendEnded(this->control.state, appended.stream, appended.batch,
-                                         statusOfAppend(appended.result.status),
-                                         this->control.now));
+    this->carryOut(Dispatch::handleAppendResult(
+            this->control.state, appended.stream, appended.batch,
+            statusOfAppend(appended.result.status), this->control.now));
 }
 
 void GatewayLog::append(const Dispatch::AppendToLog &effect)
--- a/Source/Core/Gateway/TransientCallers.h
+++ b/Source/Core/Gateway/TransientCallers.h
@@ -12,34 +12,36 @@
 
 namespace Gateway {
 
-/// The callers' side of the daemon for transient jobs: calls are decoded, sent to their queue, and
-/// answered once each. Serves readiness and metrics, too.
+/// HTTP servers of the daemon for transient jobs. Decodes the requests of callers, finds the queue
+/// of each and answers each once. Also serves the readiness probe and the metrics.
 class TransientCallers
 {
 public:
-    /// The first two must outlive this.
-    TransientCallers(TransientControl &control, TransientMailbox &mailbox, CarryOut carryOut);
+    /// \a control and \a mailbox must outlive this object.
+    TransientCallers(TransientControl &control, TransientMailbox &mailbox,
+                     TransientEffectHandler carryOut);
 
-    /// Throws std::runtime_error where an address cannot be had.
+    /// Starts the servers. Throws std::runtime_error if it cannot listen on an address.
     void start();
     void stop();
     std::uint16_t callerPort() const;
     std::uint16_t metricsPort() const;
 
-    void on(CallerAsked &event);
-    void on(const CallerLeft &event);
+    void on(CallerRequest &event);
+    void on(const CallerDisconnected &event);
     void answer(const Transient::AnswerCaller &effect);
 
-    /// \a isReady is what the probe says from now on.
-    void passTime(bool isReady);
-    /// What is asked from now on is refused as it comes, on the HTTP thread: the control thread
-    /// reads no more messages. What it has not read yet is left in the mailbox.
-    void refuseFromNowOn();
-    /// Asked before refuseFromNowOn() and not looked at.
-    void refuseUnread(const CallerAsked &event);
+    /// Updates the idle time. The readiness probe reports \a isReady from now on.
+    void runPeriodicWork(bool isReady);
+    /// From now on the HTTP thread refuses each request when it arrives, because the control thread
+    /// reads no more messages. Requests that were not read yet stay in the mailbox.
+    void refuseNewRequests();
+    /// Refuses a request that arrived before refuseNewRequests() and was not processed.
+    void refuseUnprocessed(const CallerRequest &event);
     std::size_t openRequests() const;
-    /// No caller is owed an answer or can still ask.
-    bool isQuiet() const;
+    /// True if no request has been open for a short time, and no caller has a connection open on
+    /// which it could send another.
+    bool isIdle() const;
 
 private:
     struct OpenRequest
@@ -50,23 +52,23 @@
 
     void startCallerServer();
     void startProbeServer();
-    void takeCall(const Net::HttpRequest &request, Net::HttpReply reply);
-    void submit(CallerAsked &asked, const Schema::JobQueue &queue);
-    void askState(const CallerAsked &asked, const Schema::JobQueue &queue);
-    void refuse(const CallerAsked &asked, int status, Schema::Reason reason,
+    void handleRequest(const Net::HttpRequest &request, Net::HttpReply reply);
+    void submit(CallerRequest &callerRequest, const Schema::JobQueue &queue);
+    void handleStateOrCancel(const CallerRequest &callerRequest, const Schema::JobQueue &queue);
+    void refuse(const CallerRequest &callerRequest, int status, Schema::Reason reason,
                 const std::string &detail);
-    /// False where the caller has gone.
+    /// Returns false if the answer cannot be delivered because the caller has disconnected.
     bool reply(const Net::HttpReply &reply, Net::HttpResponse response);
 
     TransientControl &control;
     TransientMailbox &mailbox;
-    CarryOut carryOut;
+    TransientEffectHandler carryOut;
     std::atomic<bool> ready{false};
     std::mutex intakeMutex;
     bool isRefusing = false;
     std::map<std::string, OpenRequest> requests;
     std::uint64_t lastToken = 0;
-    /// 0 while an answer is owed.
+    /// Time on the steady clock since which no request is open; 0 while one is open.
     std::int64_t idleSinceMs = 0;
 
     std::unique_ptr<Net::HttpServer> callerServer;
--- a/Source/Core/Gateway/TransientControl.h
+++ b/Source/Core/Gateway/TransientControl.h
@@ -12,27 +12,27 @@
 #include "Schema/Schema.h"
 #include "Transient/Transient.h"
 
-/// What the parts of the daemon for transient jobs share: the state of its control thread, and the
-/// messages that other threads hand to it.
+/// Shared by the components of the daemon for transient jobs: the state of its control thread, and
+/// the messages that other threads post to it.
 namespace Gateway {
 
-/// A call of a caller, decoded.
-struct CallerAsked
+/// Decoded request of a caller.
+struct CallerRequest
 {
     std::string method;
     std::string host;
     std::string path;
-    /// Last part of the path.
+    /// Last segment of the path.
     std::string id;
-    std::int64_t patienceMs = 0;
+    std::int64_t remainingTimeoutMs = 0;
     std::optional<Transient::JobRequest> job;
-    /// Why the body is not a job.
+    /// Why the body could not be decoded as a job.
     Common::Failure failure;
     std::uint64_t connection = 0;
     Net::HttpReply reply;
 };
 
-struct CallerLeft
+struct CallerDisconnected
 {
     std::uint64_t connection = 0;
 };
@@ -47,24 +47,24 @@
     std::vector<Schema::Member> gateways;
 };
 
-struct TimesRead
+struct LearnedTimesRead
 {
     bool available = false;
     std::vector<Schema::LearnedTimes> learned;
 };
 
-struct TransientStopAsked
+struct TransientStopRequested
 {};
 
-using TransientMessage =
-        std::variant<CallerAsked, CallerLeft, Net::LinkUp, Net::LinkDown, Net::FrameArrived,
-                     QueuesRead, GatewaysRead, TimesRead, TransientStopAsked>;
+using TransientMessage = std::variant<CallerRequest, CallerDisconnected, Net::LinkUp, Net::LinkDown,
+                                      Net::FrameArrived, QueuesRead, GatewaysRead, LearnedTimesRead,
+                                      TransientStopRequested>;
 using TransientMailbox = Common::Mailbox<TransientMessage>;
 
-/// Carries out what decisions ask for, at once and in order.
-using CarryOut = std::function<void(Transient::Effects)>;
+/// Carries out the effects of a decision, immediately and in order.
+using TransientEffectHandler = std::function<void(Transient::Effects)>;
 
-/// Changed by the control thread only, but for the metrics.
+/// Modified only by the control thread, except for the metrics, which any thread may update.
 struct TransientControl
 {
     explicit TransientControl(Schema::TransientGatewaySettings settings);
--- a/Source/Core/Gateway/TransientLinks.cpp
+++ b/Source/Core/Gateway/TransientLinks.cpp
@@ -8,7 +8,7 @@
 using Common::LogLevel;
 
 TransientLinks::TransientLinks(TransientControl &control, TransientMailbox &mailbox,
-                               CarryOut carryOut)
+                               TransientEffectHandler carryOut)
     : control(control)
     , mailbox(mailbox)
     , carryOut(std::move(carryOut))
@@ -30,7 +30,7 @@
 {
     PeerLink &link = this->links[event.link];
     link.isOpen = true;
-    link.heardMs = this->control.now.steadyMs;
+    link.lastReceivedMs = this->control.now.steadyMs;
     this->announceTo(event.link, link);
 }
 
@@ -51,8 +51,8 @@
     const auto agent = this->agentLinks.find(link.agent);
     if (agent != this->agentLinks.end() && agent->second == event.link) {
         this->agentLinks.erase(agent);
-        this->carryOut(
-                Transient::agentLinkLost(this->control.state, link.agent, this->control.now));
+        this->carryOut(Transient::handleAgentDisconnected(this->control.state, link.agent,
+                                                          this->control.now));
     }
 }
 
@@ -63,7 +63,7 @@
         return;
     }
     PeerLink &link = found->second;
-    link.heardMs = this->control.now.steadyMs;
+    link.lastReceivedMs = this->control.now.steadyMs;
     const Schema::Frame &frame = event.frame;
     if (frame.agentAnnouncement) {
         this->agentAnnounced(event.link, *frame.agentAnnouncement);
@@ -83,12 +83,13 @@
 void TransientLinks::agentAnnounced(Net::LinkId id, const Schema::AgentAnnouncement &announcement)
 {
     PeerLink &link = this->links.at(id);
-    const auto former = this->agentLinks.find(announcement.instance);
-    if (former != this->agentLinks.end() && former->second != id) {
-        // Frames on the former link may be lost: the agent is taken as met anew.
-        this->hub->close(former->second);
-        this->carryOut(Transient::agentLinkLost(this->control.state, announcement.instance,
-                                                this->control.now));
+    const auto previousLink = this->agentLinks.find(announcement.instance);
+    if (previousLink != this->agentLinks.end() && previousLink->second != id) {
+        // Frames on the previous link may be lost: the agent is handled as disconnected and newly
+        // connected.
+        this->hub->close(previousLink->second);
+        this->carryOut(Transient::handleAgentDisconnected(
+                this->control.state, announcement.instance, this->control.now));
     }
     link.agent = announcement.instance;
     this->agentLinks[announcement.instance] = id;
@@ -106,22 +107,22 @@
                          {{"gateway", announcement.gateway.instance},
                           {"queues_version", announcement.queuesVersion}});
         if (!link.address.empty()) {
-            Transient::gatewayLinked(this->control.discovery, link.address, this->control.now);
+            Transient::gatewayConnected(this->control.discovery, link.address, this->control.now);
         }
     }
-    const bool isNews = !link.gateway;
+    const bool isNewGateway = !link.gateway;
     link.gateway = announcement.gateway;
-    Transient::gatewayTold(this->control.discovery, Transient::addressOf(announcement.gateway),
-                           this->control.now);
-    Transient::gatewaysTold(this->control.discovery, announcement.others, this->control.now);
-    Transient::orphansRelayed(this->control.state, announcement.gateway.instance,
-                              announcement.orphans.value_or(std::vector<Schema::OrphanedJob>{}),
-                              this->control.now);
+    Transient::addGateway(this->control.discovery, Transient::addressOf(announcement.gateway),
+                          this->control.now);
+    Transient::addGateways(this->control.discovery, announcement.others, this->control.now);
+    Transient::updateRelayedOrphans(
+            this->control.state, announcement.gateway.instance,
+            announcement.orphans.value_or(std::vector<Schema::OrphanedJob>{}), this->control.now);
     if (announcement.queuesVersion < this->control.queues.version) {
         this->sendQueues(id);
     }
-    if (isNews) {
-        // Agents learn of a new gateway from the others, and dial it.
+    if (isNewGateway) {
+        // Agents learn the address of a new gateway from the other gateways, and dial it.
         this->announceToAll();
     }
 }
@@ -161,20 +162,20 @@
     }
     this->control.metrics.count("auburntrail_frames_undeliverable_total", {{"to", "agent"}});
     if (link != this->agentLinks.end()) {
-        // What was lost is found out when the agent announces itself on a new link.
+        // Lost frames are detected when the agent announces itself on a new link.
         this->hub->close(link->second);
     }
 }
 
-std::vector<Schema::Member> TransientLinks::liveGateways() const
+std::vector<Schema::Member> TransientLinks::connectedGateways() const
 {
-    std::vector<Schema::Member> live;
+    std::vector<Schema::Member> connected;
     for (const auto &[id, link] : this->links) {
         if (link.gateway) {
-            live.push_back(*link.gateway);
+            connected.push_back(*link.gateway);
         }
     }
-    return live;
+    return connected;
 }
 
 void TransientLinks::announceTo(Net::LinkId id, PeerLink &link)
@@ -183,7 +184,7 @@
     Schema::Frame frame = frameOf(Schema::FrameType::GatewayAnnouncement);
     frame.gatewayAnnouncement = Schema::GatewayAnnouncement{};
     frame.gatewayAnnouncement->gateway = this->control.self;
-    frame.gatewayAnnouncement->others = this->liveGateways();
+    frame.gatewayAnnouncement->others = this->connectedGateways();
     frame.gatewayAnnouncement->queuesVersion = this->control.queues.version;
     if (link.gateway) {
         auto orphans = Transient::orphansToRelay(this->control.state, this->control.now);
@@ -198,11 +199,12 @@
     this->hub->send(id, frame);
 }
 
-void TransientLinks::dropSilent()
+void TransientLinks::closeSilentLinks()
 {
     for (const auto &[id, link] : this->links) {
         if (link.isOpen
-            && this->control.now.steadyMs > link.heardMs + this->control.settings.silenceMs) {
+            && this->control.now.steadyMs
+                       > link.lastReceivedMs + this->control.settings.silenceMs) {
             this->hub->close(id);
         }
     }
@@ -217,7 +219,7 @@
     }
 }
 
-void TransientLinks::passTime()
+void TransientLinks::runPeriodicWork()
 {
     const std::int64_t nowMs = this->control.now.steadyMs;
     for (auto &[id, link] : this->links) {
@@ -225,7 +227,7 @@
             this->announceTo(id, link);
         }
     }
-    this->dropSilent();
+    this->closeSilentLinks();
     this->dialGateways();
 }
 
@@ -248,7 +250,7 @@
     for (const auto &[id, link] : this->links) {
         if (link.isOpen) {
             next = std::min(next, link.sentMs + this->control.settings.heartbeatMs);
-            next = std::min(next, link.heardMs + this->control.settings.silenceMs + 1);
+            next = std::min(next, link.lastReceivedMs + this->control.settings.silenceMs + 1);
         }
     }
     return next;
--- a/Source/Core/Gateway/TransientStore.cpp
+++ b/Source/Core/Gateway/TransientStore.cpp
@@ -41,7 +41,7 @@
 
 void TransientStore::followQueues()
 {
-    this->client->follow(StoreTopic::Operators, [this](const StoreClient::StoreNews &news) {
+    this->client->follow(StoreTopic::Operators, [this](const StoreClient::StoreUpdate &news) {
         for (const Platform::StoreRecord &record : news.records) {
             if (record.key != Platform::QueuesKey) {
                 continue;
@@ -57,12 +57,12 @@
 
 void TransientStore::followGateways()
 {
-    this->client->follow(StoreTopic::Gateways, [this](const StoreClient::StoreNews &news) {
+    this->client->follow(StoreTopic::Gateways, [this](const StoreClient::StoreUpdate &news) {
         this->mailbox.post(GatewaysRead{Platform::decodeMembers(news.records)});
     });
 }
 
-void TransientStore::passTime()
+void TransientStore::runPeriodicWork()
 {
     this->readLearned();
     this->writeLearned();
@@ -70,21 +70,21 @@
 
 void TransientStore::readLearned()
 {
-    if (!this->control.state.remembers
+    if (!this->control.state.storesLearned
         || !Transient::takeReadDue(this->learned, this->control.now)) {
         return;
     }
-    this->client->readOnce(StoreTopic::Learned, [this](const StoreClient::StoreNews &news) {
-        this->mailbox.post(TimesRead{news.available, Platform::decodeLearned(news.records)});
+    this->client->readOnce(StoreTopic::Learned, [this](const StoreClient::StoreUpdate &news) {
+        this->mailbox.post(LearnedTimesRead{news.available, Platform::decodeLearned(news.records)});
     });
 }
 
-void TransientStore::on(const TimesRead &event)
+void TransientStore::on(const LearnedTimesRead &event)
 {
     if (!event.available) {
         return;
     }
-    Transient::learnedRead(this->learned);
+    Transient::finishReading(this->learned);
     for (const Schema::LearnedTimes &times : event.learned) {
         Transient::recallTimes(this->control.state, times);
         Common::logEvent(LogLevel::Info, "times_recalled",
@@ -98,7 +98,7 @@
 void TransientStore::writeLearned()
 {
     const TransientControl &control = this->control;
-    if (!control.state.remembers
+    if (!control.state.storesLearned
         || !Transient::takeWriteDue(this->learned, control.state.fleet, control.now)) {
         return;
     }
--- a/Source/Core/Net/HttpClient.cpp
+++ b/Source/Core/Net/HttpClient.cpp
@@ -15,19 +15,21 @@
 
 namespace {
 
-/// Longest answer taken in.
+/// Longest answer body that is accepted.
 constexpr std::size_t MaxAnswerBytes = std::size_t{128} << 20U;
-/// How long the thread sleeps when nothing happens; calls and answers wake it.
+/// Longest sleep of the thread; new calls and arriving answers wake it earlier.
 constexpr int PollTimeoutMs = 1000;
-constexpr std::int64_t MillisecondsASecond = 1000;
-/// Idle connections to one server are kept up to its bound, and a few more for others.
-constexpr long PooledForEachAllowed = 2;
+constexpr std::int64_t MsPerSecond = 1000;
+/// Size of the connection pool, relative to the most connections to one server: idle connections
+/// to one server are all kept, with room for some to other servers.
+constexpr long PooledConnectionsFactor = 2;
 
 struct HeaderList
 {
     HeaderList()
     {
-        // Without "Expect:" curl waits up to a second for a server's leave to send a long body.
+        // Without this empty header, curl waits up to a second for "100 Continue" before it sends a
+        // long body.
         this->headers = curl_slist_append(this->headers, "Expect:");
         this->headers = curl_slist_append(this->headers, "Content-Type: application/json");
         this->headers = curl_slist_append(this->headers, "Connection: keep-alive");
@@ -47,19 +49,19 @@
 struct Transfer
 {
     HttpCall call;
-    /// Only for a call with headers of its own.
+    /// Set only for a call with additional headers.
     std::unique_ptr<HeaderList> headerList;
-    HttpDone done;
+    HttpCallback done;
     HttpResult result;
-    /// Times that curl was about to write the request to a connection.
+    /// Number of times that curl was about to write the request to a connection.
     int attempts = 0;
     bool isTooLong = false;
 };
 
-/// curl sends a request again, unasked and whatever its method, when a reused connection closes
-/// before any byte of the answer: the server may have acted on the first one, and a POST would take
-/// effect twice. curl has no switch for that, but asks here before each attempt; the second is
-/// turned down and the call ends as Lost.
+/// curl automatically repeats a request, whatever its method, if a reused connection closes before
+/// the first byte of the answer. The server may have acted on the first request, so that a repeated
+/// POST would take effect twice. curl has no option to turn this off, but calls this function
+/// before each attempt. The second attempt is rejected, and the call ends as Lost.
 int beforeRequest(void *user, char *, char *, int, int)
 {
     auto *transfer = static_cast<Transfer *>(user);
@@ -67,7 +69,7 @@
     return transfer->attempts == 1 ? CURL_PREREQFUNC_OK : CURL_PREREQFUNC_ABORT;
 }
 
-std::size_t takeBody(char *data, std::size_t size, std::size_t count, void *user)
+std::size_t appendBody(char *data, std::size_t size, std::size_t count, void *user)
 {
     auto *transfer = static_cast<Transfer *>(user);
     const std::size_t length = size * count;
@@ -137,7 +139,8 @@
         this->multi = curl_multi_init();
         curl_multi_setopt(this->multi, CURLMOPT_MAX_HOST_CONNECTIONS,
                           static_cast<long>(maxConnections));
-        curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS, maxConnections * PooledForEachAllowed);
+        curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS,
+                          maxConnections * PooledConnectionsFactor);
         this->thread = std::thread([this] { this->run(); });
     }
 
@@ -152,7 +155,7 @@
     Implementation(const Implementation &) = delete;
     Implementation &operator=(const Implementation &) = delete;
 
-    void post(HttpCall call, HttpDone done)
+    void post(HttpCall call, HttpCallback done)
     {
         auto transfer = std::make_unique<Transfer>();
         transfer->call = std::move(call);
@@ -170,10 +173,10 @@
             this->addWaiting();
             int running = 0;
             curl_multi_perform(this->multi, &running);
-            this->finishDone();
+            this->finishCompleted();
             curl_multi_poll(this->multi, nullptr, 0, PollTimeoutMs, nullptr);
         }
-        this->endAll();
+        this->abortAll();
     }
 
     void addWaiting()
@@ -218,7 +221,7 @@
         curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, static_cast<long>(call.timeoutMs));
         curl_easy_setopt(handle, CURLOPT_PREREQFUNCTION, beforeRequest);
         curl_easy_setopt(handle, CURLOPT_PREREQDATA, &transfer);
-        curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, takeBody);
+        curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, appendBody);
         curl_easy_setopt(handle, CURLOPT_WRITEDATA, &transfer);
         if (call.method == "POST" || !call.body.empty()) {
             curl_easy_setopt(handle, CURLOPT_POSTFIELDSIZE_LARGE,
@@ -232,21 +235,20 @@
         return handle;
     }
 
-    /// When something between the two ends has lost track of their connections, each pooled one
-    /// swallows a request and costs a timeout. After some timeouts in a row none that is older is
-    /// used again: a server that is only slow costs no more than some new connections. Where a
-    /// server leaves single requests unanswered, one timeout tells nothing of the other
-    /// connections.
+    /// If a device between client and server has dropped the state of their connections, each
+    /// pooled connection loses a request and costs a timeout. Therefore, after timeoutsUntilSuspect
+    /// timeouts without an answer in between, older connections are not used again. For a server
+    /// that is only slow, this costs no more than some new connections. If a server leaves single
+    /// requests unanswered, one timeout says nothing about the other connections.
     void avoidSuspectConnections(CURL *handle, const std::string &origin)
     {
         const auto found = this->lastTimeoutMs.find(origin);
         if (found == this->lastTimeoutMs.end()) {
             return;
         }
-        const std::int64_t age =
-                (Common::currentMoment().steadyMs - found->second) / MillisecondsASecond;
-        // curl counts whole seconds and takes 0 for no bound; one second less errs on the safe
-        // side.
+        const std::int64_t age = (Common::currentMoment().steadyMs - found->second) / MsPerSecond;
+        // curl counts whole seconds, and 0 means no limit. One second less makes sure that all
+        // connections older than the timeout are excluded.
         if (age < 2) {
             curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, 1L);
         } else {
@@ -254,17 +256,18 @@
         }
     }
 
-    void judgeConnections(const std::string &origin, HttpTransport transport)
+    void updateSuspectConnections(const std::string &origin, HttpTransport transport)
     {
-        int &inRow = this->timeoutsInRow[origin];
+        int &consecutiveTimeouts = this->consecutiveTimeoutsByOrigin[origin];
         if (transport == HttpTransport::Answered) {
-            inRow = 0;
-        } else if (transport == HttpTransport::TimedOut && ++inRow >= this->timeoutsUntilSuspect) {
+            consecutiveTimeouts = 0;
+        } else if (transport == HttpTransport::TimedOut
+                   && ++consecutiveTimeouts >= this->timeoutsUntilSuspect) {
             this->lastTimeoutMs[origin] = Common::currentMoment().steadyMs;
         }
     }
 
-    void finishDone()
+    void finishCompleted()
     {
         int left = 0;
         while (CURLMsg *message = curl_multi_info_read(this->multi, &left)) {
@@ -288,15 +291,15 @@
             result.error = transfer.isTooLong ? "answer too long" : curl_easy_strerror(code);
             result.body.clear();
         }
-        if (transfer.call.judgesConnections || result.transport == HttpTransport::Answered) {
-            this->judgeConnections(originOf(transfer.call.url), result.transport);
+        if (transfer.call.marksSuspectConnections || result.transport == HttpTransport::Answered) {
+            this->updateSuspectConnections(originOf(transfer.call.url), result.transport);
         }
         curl_multi_remove_handle(this->multi, handle);
         curl_easy_cleanup(handle);
         transfer.done(std::move(result));
     }
 
-    void endAll()
+    void abortAll()
     {
         while (!this->transfers.empty()) {
             this->finish(this->transfers.begin()->first, CURLE_ABORTED_BY_CALLBACK);
@@ -318,10 +321,10 @@
     std::atomic<bool> isStopping = false;
     std::mutex mutex;
     std::deque<std::unique_ptr<Transfer>> waiting;
-    /// The members below belong to the thread.
+    /// The members below are used only by the client's thread.
     std::map<CURL *, std::unique_ptr<Transfer>> transfers;
     std::map<std::string, std::int64_t> lastTimeoutMs;
-    std::map<std::string, int> timeoutsInRow;
+    std::map<std::string, int> consecutiveTimeoutsByOrigin;
     std::thread thread;
 };
 
@@ -331,7 +334,7 @@
 
 HttpClient::~HttpClient() = default;
 
-void HttpClient::send(HttpCall call, HttpDone done)
+void HttpClient::send(HttpCall call, HttpCallback done)
 {
     this->implementation->post(std::move(call), std::move(done));
 }
--- a/Source/Core/Runner/Forecast.cpp
+++ b/Source/Core/Runner/Forecast.cpp
@@ -10,6 +10,7 @@
 
 namespace {
 
+/// Processors that become free when a run ends.
 struct Release
 {
     double atMs = 0;
@@ -18,7 +19,7 @@
     bool operator>(const Release &other) const { return this->atMs > other.atMs; }
 };
 
-/// The backend server from now on, as its runs end and others take their place.
+/// Simulates the backend server from now on, as runs end and others start in their place.
 struct Timeline
 {
     std::priority_queue<Release, std::vector<Release>, std::greater<>> releases;
@@ -26,7 +27,7 @@
     double nowMs = 0;
 };
 
-void waitForRoom(Timeline &timeline, double processors)
+void advanceUntilFree(Timeline &timeline, double processors)
 {
     while (timeline.free < processors && !timeline.releases.empty()) {
         const Release next = timeline.releases.top();
@@ -69,16 +70,16 @@
         const Run &run = state.runs.at(id);
         if (!isUrgentKnown && run.priority > state.urgentPriority) {
             Timeline urgent = timeline;
-            waitForRoom(urgent, needed);
+            advanceUntilFree(urgent, needed);
             forecast.urgentWaitMs = urgent.nowMs;
             isUrgentKnown = true;
         }
-        waitForRoom(timeline, run.resources.processors);
+        advanceUntilFree(timeline, run.resources.processors);
         timeline.free -= run.resources.processors;
         timeline.releases.push({timeline.nowMs + static_cast<double>(run.expectedMs) * slowdown,
                                 run.resources.processors});
     }
-    waitForRoom(timeline, needed);
+    advanceUntilFree(timeline, needed);
     forecast.waitMs = timeline.nowMs;
     if (!isUrgentKnown) {
         forecast.urgentWaitMs = forecast.waitMs;
--- /dev/null
+++ b/Source/Core/Runner/Observation.cpp
@@ -0,0 +1,427 @@
+#include "Runner/Observation.h"
+
+#include <algorithm>
+
+#include "Runner/Pace.h"
+#include "Runner/Runs.h"
+
+namespace Runner {
+
+namespace {
+
+using Schema::AttemptPhase;
+using Schema::Reason;
+using Transient::ObserveOutcome;
+using Transient::RunEnd;
+
+/// Concurrent calls: two may hang while a third one works.
+constexpr std::size_t MaxPendingObservations = 3;
+/// Period of shorter waits after a lost or overdue answer: one more in twenty is likely to be lost,
+/// too, and each hides the ends of runs for as long as it waits.
+constexpr std::int64_t LossyPeriodMs = 3000;
+constexpr std::int64_t LossyObserveWaitMs = 60;
+/// A run counts as lost when it is missing from this many consecutive observations that were sent
+/// after its start was answered.
+constexpr int MissedUntilLost = 2;
+constexpr std::int64_t StrayRetryMs = 150;
+/// Pause after an observation that failed without a timeout. Successive observations that do not
+/// wait for an end are half of it apart.
+constexpr std::int64_t FailedPauseMs = 50;
+
+bool isObservationNeeded(const RunnerState &state)
+{
+    return !state.isClean || state.acknowledgedEnd < state.lastEnd || !state.strays.empty()
+           || std::any_of(state.runs.begin(), state.runs.end(),
+                          [](const auto &entry) { return entry.second.phase != RunPhase::Queued; });
+}
+
+Run *findRun(RunnerState &state, const std::string &task, std::int64_t number, RunId &id)
+{
+    for (auto &[key, run] : state.runs) {
+        if (run.phase != RunPhase::Queued && run.number == number && run.task == task) {
+            id = key;
+            return &run;
+        }
+    }
+    return nullptr;
+}
+
+void processEnd(RunnerState &state, Effects &effects, const Transient::EndedRun &end,
+                Common::Moment now)
+{
+    if (end.position <= state.lastEnd) {
+        return;
+    }
+    state.lastEnd = end.position;
+    RunId id = 0;
+    const Run *run = findRun(state, end.task, end.number, id);
+    if (run == nullptr) {
+        return;
+    }
+    switch (end.end) {
+    case RunEnd::Succeeded:
+        finishRun(state, effects, id, AttemptPhase::Succeeded, Reason::None, now);
+        break;
+    case RunEnd::Failed:
+        finishRun(state, effects, id, AttemptPhase::Failed, Reason::TaskFailed, now);
+        break;
+    default: {
+        const Reason reason =
+                run->phase == RunPhase::Stopping ? run->stopReason : Reason::LeaseLapsed;
+        finishRun(state, effects, id, AttemptPhase::Stopped, reason, now);
+    }
+    }
+}
+
+bool isObserved(const Transient::Observation &seen, const std::string &task, std::int64_t number)
+{
+    return std::any_of(seen.active.begin(), seen.active.end(),
+                       [&](const Transient::ActiveRun &active) {
+                           return active.number == number && active.task == task;
+                       });
+}
+
+void stopStray(RunnerState &state, Effects &effects, const Transient::ActiveRun &active,
+               Common::Moment now)
+{
+    const auto [entry, isNew] = state.strays.try_emplace({active.task, active.number});
+    Stray &stray = entry->second;
+    if (isNew) {
+        stray.firstSeenMs = now.steadyMs;
+    }
+    if (now.steadyMs < stray.nextStopMs) {
+        return;
+    }
+    stray.nextStopMs = now.steadyMs + StrayRetryMs;
+    effects.emplace_back(Transient::LogLine{"stray_run_stopped",
+                                            {{"task", active.task},
+                                             {"run", std::to_string(active.number)},
+                                             {"percent", std::to_string(active.percent)}}});
+    effects.emplace_back(CallStop{active.task, active.number});
+}
+
+void processActive(RunnerState &state, Effects &effects, const Transient::Observation &seen,
+                   Common::Moment now)
+{
+    for (const Transient::ActiveRun &active : seen.active) {
+        RunId id = 0;
+        Run *run = findRun(state, active.task, active.number, id);
+        if (run == nullptr) {
+            stopStray(state, effects, active, now);
+            continue;
+        }
+        run->percent = active.percent;
+        run->progressSeenMs = now.steadyMs;
+        run->isStartKnown = true;
+    }
+    // Stray runs that are no longer listed have ended.
+    for (auto entry = state.strays.begin(); entry != state.strays.end();) {
+        entry = isObserved(seen, entry->first.first, entry->first.second)
+                        ? std::next(entry)
+                        : state.strays.erase(entry);
+    }
+}
+
+/// Finishes the runs that the backend server no longer lists, although the observation was sent
+/// after their start was answered or after their stop was accepted.
+void finishMissingRuns(RunnerState &state, Effects &effects, const Transient::Observation &seen,
+                       std::int64_t sentMs, Common::Moment now)
+{
+    std::vector<RunId> gone;
+    for (auto &[id, run] : state.runs) {
+        if (isObserved(seen, run.task, run.number)) {
+            run.missedObservations = 0;
+            continue;
+        }
+        const bool isStopped = run.phase == RunPhase::Stopping && run.stopAcceptedMs != 0
+                               && sentMs > run.stopAcceptedMs;
+        // Calls can overtake each other: only an observation that was sent after the answer to the
+        // start is certain to include the run.
+        const bool isMissing = run.phase == RunPhase::Running && sentMs >= run.startAnsweredMs
+                               && ++run.missedObservations >= MissedUntilLost;
+        if (isStopped || isMissing) {
+            gone.push_back(id);
+        }
+    }
+    for (const RunId id : gone) {
+        const Run &run = state.runs.at(id);
+        const Reason reason =
+                run.phase == RunPhase::Stopping ? run.stopReason : Reason::BackendLost;
+        finishRun(state, effects, id, AttemptPhase::Stopped, reason, now);
+    }
+}
+
+/// Handles an observation from an incarnation that has not announced itself yet.
+void detectIncarnation(RunnerState &state, Effects &effects, std::int64_t startedAtMs,
+                       Common::Moment now)
+{
+    effects.emplace_back(Transient::LogLine{"backend_restarted",
+                                            {{"started_at_ms", std::to_string(startedAtMs)}}});
+    const Transient::BackendAnnouncement before = *state.backend;
+    state.previousIncarnations.erase({before.id, startedAtMs});
+    state.backend->startedAtMs = startedAtMs;
+    // Its announcements are numbered from the beginning. Compared with the sequence of the previous
+    // incarnation, they would all seem late.
+    constexpr std::int64_t NoneYet = -1;
+    state.backend->sequence = NoneYet;
+    beginIncarnation(state, effects, before, now);
+}
+
+void updateClean(RunnerState &state, Effects &effects)
+{
+    if (state.isClean || !state.strays.empty()) {
+        return;
+    }
+    state.isClean = true;
+    effects.emplace_back(
+            Transient::LogLine{"backend_clean", {{"last_end", std::to_string(state.lastEnd)}}});
+    effects.emplace_back(Announce{});
+}
+
+/// Whether any run at the backend server should continue. Runs that a previous process left behind
+/// should not: when they were renewed while their stops went unanswered, they continued beside
+/// their replacements at another agent.
+bool hasWantedRun(const RunnerState &state)
+{
+    return std::any_of(state.runs.begin(), state.runs.end(), [](const auto &entry) {
+        const RunPhase phase = entry.second.phase;
+        return phase == RunPhase::Starting || phase == RunPhase::Running;
+    });
+}
+
+/// Records that the observation has renewed the lease, or may have, if it requested that. This
+/// includes refused observations: only a refused start is known to have had no effect.
+void recordRenewal(RunnerState &state, const PendingObservation &observation)
+{
+    if (observation.isRenewal) {
+        state.leaseGrantSentMs = std::max(state.leaseGrantSentMs, observation.sentMs);
+    }
+}
+
+void processObservation(RunnerState &state, Effects &effects, const Transient::Observation &seen,
+                        const PendingObservation &observation, Common::Moment now)
+{
+    updateClockOffset(state, seen.clockMs, now);
+    recordRenewal(state, observation);
+    state.silentSinceMs = 0;
+    const bool isNewIncarnation = seen.startedAtMs != 0 && state.backend
+                                  && state.backend->startedAtMs != 0
+                                  && seen.startedAtMs != state.backend->startedAtMs;
+    if (isNewIncarnation) {
+        detectIncarnation(state, effects, seen.startedAtMs, now);
+    } else {
+        state.acknowledgedEnd = std::max(state.acknowledgedEnd, observation.lastEnd);
+    }
+    std::vector<Transient::EndedRun> ended = seen.ended;
+    std::sort(ended.begin(), ended.end(),
+              [](const auto &left, const auto &right) { return left.position < right.position; });
+    for (const Transient::EndedRun &end : ended) {
+        processEnd(state, effects, end, now);
+    }
+    processActive(state, effects, seen, now);
+    finishMissingRuns(state, effects, seen, observation.sentMs, now);
+    updateSlowdown(state, now);
+    updateClean(state, effects);
+    if (!state.isBackendResponsive) {
+        state.isBackendResponsive = true;
+        effects.emplace_back(Transient::LogLine{"backend_regained", {}});
+        effects.emplace_back(Announce{});
+    }
+}
+
+/// Time after which a granted lease has expired. The clock of the backend server may be slow by a
+/// fiftieth; the margin is twice that.
+std::int64_t lapseMs(const RunnerState &state)
+{
+    constexpr std::int64_t ClockShare = 25;
+    return state.times.leaseMs + state.times.leaseMs / ClockShare;
+}
+
+/// Send time of the last call that may have granted a lease; a lease covers all runs. When the end
+/// of leases was counted from the last answer instead, runs were given up that continued under a
+/// start in transit or a renewal whose answer was lost, and their tasks ran twice at the same time.
+std::int64_t latestLeaseGrantMs(const RunnerState &state)
+{
+    std::int64_t lastMs = state.leaseGrantSentMs;
+    for (const auto &[id, observation] : state.pendingObservations) {
+        lastMs = observation.isRenewal ? std::max(lastMs, observation.sentMs) : lastMs;
+    }
+    for (const auto &[id, run] : state.runs) {
+        lastMs = run.isStartPending ? std::max(lastMs, run.startSentMs) : lastMs;
+    }
+    return lastMs;
+}
+
+bool isSilentFor(const RunnerState &state, std::int64_t ms, Common::Moment now)
+{
+    return state.silentSinceMs != 0 && now.steadyMs > state.silentSinceMs + ms;
+}
+
+void markBackendLost(RunnerState &state, Effects &effects, ObserveOutcome outcome,
+                     Common::Moment now)
+{
+    if (!state.isBackendResponsive) {
+        return;
+    }
+    effects.emplace_back(Transient::LogLine{
+            "backend_lost",
+            {{"why", std::string(Common::nameOf(Transient::ObserveOutcomeNames, outcome))},
+             {"silent_ms", std::to_string(now.steadyMs - state.silentSinceMs)},
+             {"granted_ms_ago", std::to_string(now.steadyMs - latestLeaseGrantMs(state))},
+             {"runs", std::to_string(state.runs.size() - state.queue.size())}}});
+    state.isBackendResponsive = false;
+    effects.emplace_back(Announce{});
+}
+
+void processFailedObservation(RunnerState &state, Effects &effects, ObserveOutcome outcome,
+                              const PendingObservation &observation, Common::Moment now)
+{
+    effects.emplace_back(Transient::CountReason{
+            "auburntrail_runner_watches_failed_"
+                    + std::string(Common::nameOf(Transient::ObserveOutcomeNames, outcome))
+                    + "_total",
+            Reason::None});
+    if (outcome == ObserveOutcome::Fenced) {
+        raiseRejectedFence(state, observation.fence);
+    }
+    if (state.silentSinceMs == 0) {
+        state.silentSinceMs = observation.sentMs;
+    }
+    if (outcome == ObserveOutcome::Unanswered) {
+        state.lossyUntilMs = now.steadyMs + LossyPeriodMs;
+        raiseUnansweredFence(state, observation.fence);
+    } else {
+        state.nextObserveMs = now.steadyMs + FailedPauseMs;
+    }
+    if (outcome == ObserveOutcome::Unanswered || outcome == ObserveOutcome::Refused) {
+        recordRenewal(state, observation);
+    }
+    const std::int64_t lapsedMs = lapseMs(state);
+    const bool isGone =
+            outcome == ObserveOutcome::NotConnected || outcome == ObserveOutcome::OtherIncarnation;
+    const bool isOver = isSilentFor(state, lapsedMs, now)
+                        && now.steadyMs > latestLeaseGrantMs(state) + lapsedMs;
+    if (isOver || isSilentFor(state, isGone ? lapsedMs : 2 * lapsedMs, now)) {
+        markBackendLost(state, effects, outcome, now);
+    }
+    if (isOver) {
+        endLostRuns(state, effects, Reason::BackendLost, now);
+    }
+}
+
+} // namespace
+
+void beginIncarnation(RunnerState &state, Effects &effects,
+                      const Transient::BackendAnnouncement &before, Common::Moment now)
+{
+    state.previousIncarnations.insert({before.id, before.startedAtMs});
+    for (const auto &[id, observation] : state.pendingObservations) {
+        recordRenewal(state, observation);
+    }
+    // Answers of the previous incarnation must not be taken for answers of this one.
+    state.pendingObservations.clear();
+    state.strays.clear();
+    state.silentSinceMs = 0;
+    state.lastEnd = 0;
+    state.acknowledgedEnd = 0;
+    state.isClean = false;
+    // The new incarnation has seen no fence yet. Late orders that were meant for the previous one
+    // have a lower fence than this.
+    ++state.fence;
+    // A start may have reached the new incarnation before it was detected, with a lease by the
+    // clock of the previous one, so the longest possible lease is assumed.
+    state.leaseGrantSentMs =
+            std::max(state.leaseGrantSentMs,
+                     now.steadyMs + state.times.longestLeaseMs - state.times.leaseMs);
+    std::vector<RunId> unanswered;
+    for (auto &[id, run] : state.runs) {
+        if (run.phase == RunPhase::Running) {
+            // The run is over unless the next observation lists it.
+            run.startAnsweredMs = now.steadyMs + 1;
+            run.missedObservations = MissedUntilLost - 1;
+        } else if (run.phase != RunPhase::Queued) {
+            unanswered.push_back(id);
+        }
+    }
+    for (const RunId id : unanswered) {
+        stopRun(state, effects, id, Reason::BackendLost, now);
+        Run &run = state.runs.at(id);
+        // The previous incarnation may have accepted the stop, this one has not.
+        run.isStartPending = false;
+        run.stopAcceptedMs = 0;
+        run.stopTries = 0;
+        run.nextStopMs = now.steadyMs;
+    }
+}
+
+Effects observeIfDue(RunnerState &state, Common::Moment now)
+{
+    Effects effects;
+    if (!state.backend || now.steadyMs < state.nextObserveMs) {
+        return effects;
+    }
+    std::size_t pending = 0;
+    for (auto &[id, observation] : state.pendingObservations) {
+        const bool isOverdue =
+                now.steadyMs > observation.sentMs + observation.waitMs + state.times.observeGraceMs;
+        if (isOverdue && !observation.isOverdue) {
+            observation.isOverdue = true;
+            state.lossyUntilMs = now.steadyMs + LossyPeriodMs;
+        }
+        pending += observation.isOverdue ? 0 : 1;
+    }
+    const bool isNeeded = isObservationNeeded(state) || !state.isBackendResponsive;
+    if (!isNeeded) {
+        // Without observations, the time since the last answer is meaningless.
+        state.silentSinceMs = 0;
+    }
+    if (!isNeeded || pending > 0 || state.pendingObservations.size() >= MaxPendingObservations) {
+        return effects;
+    }
+    CallObserve call;
+    call.observation = ++state.lastObservation;
+    call.lastEnd = state.lastEnd;
+    // No renewal after a long silence: a backend server that carries out calls without answering
+    // would continue forever with runs whose lease this agent counts as expired.
+    const bool isSilent = isSilentFor(state, lapseMs(state), now);
+    const bool isRenewal = !isSilent && hasWantedRun(state) && !hasOverdueStop(state, now);
+    call.leaseUntilMs = isRenewal ? leaseUntilMs(state, now) : 0;
+    const bool isWaiting = state.isClean && state.isBackendResponsive;
+    const bool isLossy = now.steadyMs < state.lossyUntilMs;
+    call.waitMs = isWaiting ? (isLossy ? LossyObserveWaitMs : state.times.observeWaitMs) : 0;
+    const bool provesStops =
+            std::any_of(state.runs.begin(), state.runs.end(), [](const auto &entry) {
+                return entry.second.phase == RunPhase::Stopping && entry.second.stopAcceptedMs != 0;
+            });
+    if (provesStops || state.runs.empty()) {
+        call.waitMs = 0;
+    }
+    state.pendingObservations[call.observation] = {
+            now.steadyMs, call.waitMs, call.lastEnd, false, call.leaseUntilMs != 0, state.fence};
+    if (call.waitMs == 0) {
+        // The call returns at once; without a pause the next one would follow immediately.
+        state.nextObserveMs = now.steadyMs + FailedPauseMs / 2;
+    }
+    effects.emplace_back(call);
+    return effects;
+}
+
+Effects observeAnswered(RunnerState &state, std::uint64_t observation,
+                        const Transient::ObserveAnswer &answer, Common::Moment now)
+{
+    Effects effects;
+    const auto found = state.pendingObservations.find(observation);
+    if (found == state.pendingObservations.end()) {
+        return effects;
+    }
+    const PendingObservation sent = found->second;
+    state.pendingObservations.erase(found);
+    if (answer.outcome == ObserveOutcome::Observed) {
+        processObservation(state, effects, answer.seen, sent, now);
+    } else {
+        processFailedObservation(state, effects, answer.outcome, sent, now);
+    }
+    return effects;
+}
+
+} // namespace Runner
--- /dev/null
+++ b/Source/Core/Runner/Observation.h
@@ -0,0 +1,24 @@
+#pragma once
+
+#include "Runner/RunnerState.h"
+
+/// Observes the runs at the backend server, processes the ends of runs and renews the lease, all in
+/// one call that waits for an end.
+///
+/// Failure: an answer is lost or seconds late, and no end is seen until the call times out.
+/// Therefore another call on a separate connection follows soon after the first should have
+/// returned. Ends are numbered, so that two answers with the same ends do no harm.
+namespace Runner {
+
+/// Sends the next observation if one is needed and due.
+Effects observeIfDue(RunnerState &state, Common::Moment now);
+
+/// Handles a new incarnation of the backend server, which has no knowledge of earlier runs, stops
+/// and calls.
+void beginIncarnation(RunnerState &state, Effects &effects,
+                      const Transient::BackendAnnouncement &before, Common::Moment now);
+
+Effects observeAnswered(RunnerState &state, std::uint64_t observation,
+                        const Transient::ObserveAnswer &answer, Common::Moment now);
+
+} // namespace Runner
--- a/Source/Core/Runner/RunnerDaemon.cpp
+++ b/Source/Core/Runner/RunnerDaemon.cpp
@@ -10,8 +10,8 @@
 #include "Common/Common.h"
 #include "Net/Net.h"
 #include "platform/Platform.h"
+#include "Runner/Observation.h"
 #include "Runner/Runner.h"
-#include "Runner/Watch.h"
 #include "StoreClient/StoreClient.h"
 
 namespace Runner {
@@ -22,22 +22,22 @@
 using Common::Moment;
 
 constexpr std::int64_t StopTimeoutMs = 120;
-/// Beyond the wait that an observation asks for.
+/// Added to the wait that an observation requests.
 constexpr std::int64_t ObserveTimeoutMs = 150;
 constexpr int BackendConnections = 96;
-/// One order in twenty may go unanswered for seconds, which says nothing of the connections; a new
-/// one for each call after each of these made 2,700 connections in 44 s.
+/// One order in twenty may go unanswered for seconds without a fault of the connections. When each
+/// of these timeouts led to a new connection for every call, 2,700 connections were made in 44 s.
 constexpr int TimeoutsUntilSuspect = 3;
-/// A link that is lost may be back at once, with its gateway alive: what it ordered goes on for so
-/// long. Far below the time after which callers submit again.
-constexpr std::int64_t RelinkMs = 300;
-/// A change of the load by this part of the capacity is told at once, but not more often than the
-/// pause allows.
-constexpr double TellingLoadShare = 0.1;
-/// Without any gateway, the store is asked for their addresses so often.
-constexpr std::int64_t AskStoreMs = 2000;
+/// A lost connection may be restored at once if its gateway still runs, so tasks of the gateway
+/// continue for this long. This is far below the time after which callers submit again.
+constexpr std::int64_t ReconnectGraceMs = 300;
+/// A change of the load by more than this share of the processors is reported at once, but not more
+/// often than loadReportIntervalMs() allows.
+constexpr double SignificantLoadShare = 0.1;
+/// Interval of reading the gateways' addresses from the store while no gateway is connected.
+constexpr std::int64_t StoreReadIntervalMs = 2000;
 
-struct BackendSpoke
+struct RegistrationReceived
 {
     Platform::Registration registration;
 };
@@ -53,12 +53,12 @@
 {
     std::string task;
     std::int64_t number = 0;
-    bool taken = false;
+    bool accepted = false;
 };
 
 struct ObserveEnded
 {
-    std::uint64_t watch = 0;
+    std::uint64_t observation = 0;
     Transient::ObserveAnswer answer;
 };
 
@@ -71,20 +71,20 @@
 {};
 
 using ControlMessage =
-        std::variant<Net::LinkUp, Net::LinkDown, Net::FrameArrived, BackendSpoke, StartEnded,
-                     StopEnded, ObserveEnded, GatewaysRead, StopRequested>;
+        std::variant<Net::LinkUp, Net::LinkDown, Net::FrameArrived, RegistrationReceived,
+                     StartEnded, StopEnded, ObserveEnded, GatewaysRead, StopRequested>;
 
-/// A link to a gateway, from the dial on.
+/// A connection to a gateway, from the connection attempt on.
 struct GatewayLink
 {
     std::string address;
     /// Empty until the gateway has announced itself.
     std::string instance;
-    std::int64_t heardMs = 0;
+    std::int64_t lastReceivedMs = 0;
     std::int64_t sentMs = 0;
-    double toldProcessors = 0;
-    /// The last change of the orphaned jobs that it was told.
-    std::uint64_t toldOrphans = 0;
+    double reportedProcessors = 0;
+    /// The last change of the orphaned jobs that was sent to the gateway.
+    std::uint64_t reportedOrphansChange = 0;
     std::vector<Schema::AttemptState> unsent;
 };
 
@@ -100,7 +100,7 @@
     void on(const Net::LinkUp &event);
     void on(const Net::LinkDown &event);
     void on(const Net::FrameArrived &event);
-    void on(const BackendSpoke &event);
+    void on(const RegistrationReceived &event);
     void on(const StartEnded &event);
     void on(const StopEnded &event);
     void on(const ObserveEnded &event);
@@ -114,18 +114,18 @@
     void carryOut(const ReportAttempt &effect);
     void carryOut(const Announce &effect);
     void carryOut(const Transient::CountReason &effect);
-    void carryOut(const Transient::Note &effect);
+    void carryOut(const Transient::LogLine &effect);
 
     void gatewayAnnounced(Net::LinkId id, const Schema::GatewayAnnouncement &announcement);
     void announceTo(Net::LinkId id, GatewayLink &link);
-    void passTime();
+    void runPeriodicWork();
     void dialGateways();
-    void dropSilent();
-    void askStore();
+    void closeSilentLinks();
+    void readGatewaysFromStore();
     void sendReports();
     bool isReportDue(const GatewayLink &link, double processors) const;
     void sendTo(Net::LinkId id, GatewayLink &link, const Schema::Frame &frame);
-    Net::HttpResponse answerBackend(const Net::HttpRequest &request);
+    Net::HttpResponse handleRegistration(const Net::HttpRequest &request);
     Platform::BackendTarget target() const;
     std::int64_t nextWake() const;
 
@@ -136,19 +136,19 @@
     Common::Mailbox<ControlMessage> mailbox;
     Moment now;
     std::map<Net::LinkId, GatewayLink> links;
-    /// Gateways whose link is gone, and since when.
-    std::map<std::string, std::int64_t> unlinked;
-    /// The process that last announced itself at an address.
+    /// Gateways whose connection was lost, by instance, and when.
+    std::map<std::string, std::int64_t> disconnectedGateways;
+    /// By address: the gateway instance that last announced itself there.
     std::map<std::string, std::string> instanceAt;
     std::int64_t stopDeadlineMs = 0;
-    std::int64_t askedStoreMs = 0;
+    std::int64_t storeReadMs = 0;
 
-    // Last, so that their threads end before what they post to.
+    // Declared last, so that their threads end before the members that they use are destroyed.
     std::unique_ptr<Net::PeerHub> hub;
     std::unique_ptr<Net::HttpClient> backend;
     std::unique_ptr<StoreClient::Client> store;
     std::unique_ptr<Net::HttpServer> registration;
-    std::unique_ptr<Net::HttpServer> operators;
+    std::unique_ptr<Net::HttpServer> metricsServer;
 };
 
 RunnerDaemon::Implementation::Implementation(Schema::TransientAgentSettings chosen)
@@ -165,8 +165,8 @@
     this->state.times.grantMs = this->settings.silenceMs;
     this->state.times.suspectMs = Transient::suspectTimeMs(this->settings.leaseMs);
     switchOff(this->state, this->settings.disabledDecisions);
-    // A later process has a higher fence, so that orders of the former one that are still on their
-    // way do nothing.
+    // A later process has a higher fence, so that orders of the previous one that are still in
+    // transit have no effect.
     this->state.fence = this->now.wallMs;
 }
 
@@ -183,22 +183,22 @@
             Net::HttpServerBuilder()
                     .listenOn(address.host, address.port)
                     .handler([this](const Net::HttpRequest &request, const Net::HttpReply &reply) {
-                        reply.send(this->answerBackend(request));
+                        reply.send(this->handleRegistration(request));
                     })
                     .build();
-    this->operators = Net::serveMetrics(this->settings.host,
-                                        static_cast<std::uint16_t>(this->settings.metricsPort),
-                                        this->metrics);
+    this->metricsServer = Net::serveMetrics(this->settings.host,
+                                            static_cast<std::uint16_t>(this->settings.metricsPort),
+                                            this->metrics);
 }
 
-/// Runs on the HTTP thread. An announcement is acknowledged at once: what follows from it is
-/// decided within milliseconds, and the backend server may call again any time.
-Net::HttpResponse RunnerDaemon::Implementation::answerBackend(const Net::HttpRequest &request)
+/// Runs on the HTTP thread. An announcement is acknowledged before it is processed: the control
+/// thread handles it within milliseconds, and the backend server may call again at any time.
+Net::HttpResponse RunnerDaemon::Implementation::handleRegistration(const Net::HttpRequest &request)
 {
     return Common::handle(
             [&]() -> Common::Outcome<Net::HttpResponse> {
                 BOOST_LEAF_AUTO(registration, Platform::decodeRegistration(request));
-                this->mailbox.post(BackendSpoke{std::move(registration)});
+                this->mailbox.post(RegistrationReceived{std::move(registration)});
                 return Net::HttpResponse{200, "{}", "application/json", 0, false};
             },
             [&](const Common::Failure &failure) {
@@ -226,7 +226,7 @@
         for (const ControlMessage &message : messages) {
             std::visit([this](const auto &event) { this->on(event); }, message);
         }
-        this->passTime();
+        this->runPeriodicWork();
         if (!this->state.isStopping) {
             continue;
         }
@@ -245,8 +245,8 @@
             next = std::min(next, link.sentMs + this->settings.heartbeatMs);
         }
     }
-    for (const auto &[instance, sinceMs] : this->unlinked) {
-        next = std::min(next, sinceMs + RelinkMs);
+    for (const auto &[instance, sinceMs] : this->disconnectedGateways) {
+        next = std::min(next, sinceMs + ReconnectGraceMs);
     }
     return std::min(next, Transient::nextDialMs(this->discovery));
 }
@@ -255,7 +255,7 @@
 {
     const auto found = this->links.find(event.link);
     if (found != this->links.end()) {
-        found->second.heardMs = this->now.steadyMs;
+        found->second.lastReceivedMs = this->now.steadyMs;
     }
 }
 
@@ -268,7 +268,7 @@
     Transient::dialEnded(this->discovery, found->second.address, this->now);
     if (!found->second.instance.empty()) {
         Common::logEvent(LogLevel::Info, "gateway_unlinked", {{"gateway", found->second.instance}});
-        this->unlinked[found->second.instance] = this->now.steadyMs;
+        this->disconnectedGateways[found->second.instance] = this->now.steadyMs;
     }
     this->links.erase(found);
 }
@@ -280,7 +280,7 @@
         return;
     }
     GatewayLink &link = found->second;
-    link.heardMs = this->now.steadyMs;
+    link.lastReceivedMs = this->now.steadyMs;
     const Schema::Frame &frame = event.frame;
     if (frame.gatewayAnnouncement) {
         this->gatewayAnnounced(event.link, *frame.gatewayAnnouncement);
@@ -298,27 +298,27 @@
 void RunnerDaemon::Implementation::gatewayAnnounced(Net::LinkId id,
                                                     const Schema::GatewayAnnouncement &announcement)
 {
-    Transient::gatewaysTold(this->discovery, announcement.others, this->now);
+    Transient::addGateways(this->discovery, announcement.others, this->now);
     GatewayLink &link = this->links.at(id);
     if (!link.instance.empty()) {
         grantReceived(this->state, link.instance, announcement.echoMs);
         return;
     }
     link.instance = announcement.gateway.instance;
-    Transient::gatewayLinked(this->discovery, link.address, this->now);
+    Transient::gatewayConnected(this->discovery, link.address, this->now);
     std::string &lastHere = this->instanceAt[link.address];
     if (!lastHere.empty() && lastHere != link.instance) {
-        this->unlinked.erase(lastHere);
+        this->disconnectedGateways.erase(lastHere);
         this->carryOut(gatewayLost(this->state, lastHere, this->now));
     }
     lastHere = link.instance;
-    this->unlinked.erase(link.instance);
+    this->disconnectedGateways.erase(link.instance);
     Common::logEvent(LogLevel::Info, "gateway_linked",
                      {{"gateway", link.instance}, {"address", link.address}});
     this->announceTo(id, link);
-    const auto recent = this->state.recent.find(link.instance);
-    if (recent != this->state.recent.end()) {
-        for (const RecentEnd &end : recent->second) {
+    const auto recentEnds = this->state.recentEnds.find(link.instance);
+    if (recentEnds != this->state.recentEnds.end()) {
+        for (const RecentEnd &end : recentEnds->second) {
             link.unsent.push_back(end.state);
         }
     }
@@ -328,8 +328,8 @@
 {
     Schema::Frame frame = frameOf(Schema::FrameType::AgentAnnouncement);
     frame.agentAnnouncement = announcementFor(this->state, link.instance, this->now);
-    link.toldProcessors = frame.agentAnnouncement->load.committedProcessors;
-    link.toldOrphans = this->state.orphansChange;
+    link.reportedProcessors = frame.agentAnnouncement->load.committedProcessors;
+    link.reportedOrphansChange = this->state.orphansChange;
     this->sendTo(id, link, frame);
 }
 
@@ -338,13 +338,13 @@
 {
     link.sentMs = this->now.steadyMs;
     if (!this->hub->send(id, frame)) {
-        // What the frame said is told again on the next link.
+        // The content of the frame is sent again on the next connection.
         this->metrics.count("auburntrail_frames_undeliverable_total", {{"to", "gateway"}});
         this->hub->close(id);
     }
 }
 
-void RunnerDaemon::Implementation::on(const BackendSpoke &event)
+void RunnerDaemon::Implementation::on(const RegistrationReceived &event)
 {
     const Platform::Registration &registration = event.registration;
     if (registration.kind == Platform::RegistrationKind::Leave) {
@@ -361,17 +361,17 @@
 
 void RunnerDaemon::Implementation::on(const StopEnded &event)
 {
-    stopAnswered(this->state, event.task, event.number, event.taken, this->now);
+    stopAnswered(this->state, event.task, event.number, event.accepted, this->now);
 }
 
 void RunnerDaemon::Implementation::on(const ObserveEnded &event)
 {
-    this->carryOut(observed(this->state, event.watch, event.answer, this->now));
+    this->carryOut(observeAnswered(this->state, event.observation, event.answer, this->now));
 }
 
 void RunnerDaemon::Implementation::on(const GatewaysRead &event)
 {
-    Transient::gatewaysTold(this->discovery, event.gateways, this->now);
+    Transient::addGateways(this->discovery, event.gateways, this->now);
 }
 
 void RunnerDaemon::Implementation::on(const StopRequested & /*event*/)
@@ -408,7 +408,7 @@
     Net::HttpCall call = Platform::startCall(this->target(), effect.start);
     call.timeoutMs = effect.timeoutMs;
     call.connectTimeoutMs = effect.timeoutMs;
-    call.judgesConnections = false;
+    call.marksSuspectConnections = false;
     this->backend->send(std::move(call), [this, run = effect.run, number = effect.start.number](
                                                  const Net::HttpResult &result) {
         this->mailbox.post(StartEnded{run, number, Platform::decodeStart(result)});
@@ -437,10 +437,10 @@
     Net::HttpCall call = Platform::observeCall(this->target(), request);
     call.timeoutMs = effect.waitMs + ObserveTimeoutMs;
     call.connectTimeoutMs = ObserveTimeoutMs;
-    this->backend->send(
-            std::move(call), [this, watch = effect.watch](const Net::HttpResult &result) {
-                this->mailbox.post(ObserveEnded{watch, Platform::decodeObservation(result)});
-            });
+    this->backend->send(std::move(call), [this, observation = effect.observation](
+                                                 const Net::HttpResult &result) {
+        this->mailbox.post(ObserveEnded{observation, Platform::decodeObservation(result)});
+    });
 }
 
 void RunnerDaemon::Implementation::carryOut(const ReportAttempt &effect)
@@ -470,17 +470,17 @@
     this->metrics.count(effect.counter, {{"reason", Schema::enumName(effect.reason)}});
 }
 
-void RunnerDaemon::Implementation::carryOut(const Transient::Note &effect)
+void RunnerDaemon::Implementation::carryOut(const Transient::LogLine &effect)
 {
     Common::logEvent(LogLevel::Info, effect.event, effect.fields);
 }
 
-void RunnerDaemon::Implementation::passTime()
+void RunnerDaemon::Implementation::runPeriodicWork()
 {
     this->carryOut(tick(this->state, this->now));
-    this->dropSilent();
+    this->closeSilentLinks();
     this->dialGateways();
-    this->askStore();
+    this->readGatewaysFromStore();
     this->sendReports();
 }
 
@@ -492,56 +492,58 @@
                 this->hub->connect(target.host, target.port, Transient::DialTimeoutMs);
         GatewayLink link;
         link.address = address;
-        link.heardMs = this->now.steadyMs;
+        link.lastReceivedMs = this->now.steadyMs;
         this->links.emplace(id, std::move(link));
     }
 }
 
-void RunnerDaemon::Implementation::dropSilent()
+void RunnerDaemon::Implementation::closeSilentLinks()
 {
     for (const auto &[id, link] : this->links) {
-        if (this->now.steadyMs > link.heardMs + this->settings.silenceMs) {
-            // Gateways beat three times as often: the connection or the gateway is dead.
+        if (this->now.steadyMs > link.lastReceivedMs + this->settings.silenceMs) {
+            // Gateways send heartbeats three times as often, so the connection or the gateway has
+            // failed.
             this->hub->close(id);
         }
     }
-    for (auto entry = this->unlinked.begin(); entry != this->unlinked.end();) {
-        if (this->now.steadyMs < entry->second + RelinkMs) {
+    for (auto entry = this->disconnectedGateways.begin();
+         entry != this->disconnectedGateways.end();) {
+        if (this->now.steadyMs < entry->second + ReconnectGraceMs) {
             ++entry;
             continue;
         }
         this->carryOut(gatewayLost(this->state, entry->first, this->now));
-        entry = this->unlinked.erase(entry);
+        entry = this->disconnectedGateways.erase(entry);
     }
 }
 
-void RunnerDaemon::Implementation::askStore()
+void RunnerDaemon::Implementation::readGatewaysFromStore()
 {
     const bool hasGateway =
             std::any_of(this->links.begin(), this->links.end(),
                         [](const auto &entry) { return !entry.second.instance.empty(); });
-    if (hasGateway || this->now.steadyMs < this->askedStoreMs + AskStoreMs) {
+    if (hasGateway || this->now.steadyMs < this->storeReadMs + StoreReadIntervalMs) {
         return;
     }
-    this->askedStoreMs = this->now.steadyMs;
+    this->storeReadMs = this->now.steadyMs;
     this->store->readOnce(
-            Platform::StoreTopic::Gateways, [this](const StoreClient::StoreNews &news) {
+            Platform::StoreTopic::Gateways, [this](const StoreClient::StoreUpdate &news) {
                 this->mailbox.post(GatewaysRead{Platform::decodeMembers(news.records)});
             });
 }
 
 bool RunnerDaemon::Implementation::isReportDue(const GatewayLink &link, double processors) const
 {
-    if (isUrgent(link.unsent) || link.toldOrphans < this->state.urgentOrphansChange
+    if (isUrgent(link.unsent) || link.reportedOrphansChange < this->state.urgentOrphansChange
         || this->now.steadyMs >= link.sentMs + this->settings.heartbeatMs) {
         return true;
     }
     if (!this->state.backend
-        || this->now.steadyMs < link.sentMs + loadPauseMs(this->links.size())) {
+        || this->now.steadyMs < link.sentMs + loadReportIntervalMs(this->links.size())) {
         return false;
     }
-    const double change = std::abs(processors - link.toldProcessors);
-    return change > this->state.backend->resources.processors * TellingLoadShare;
+    const double change = std::abs(processors - link.reportedProcessors);
+    return change > this->state.backend->resources.processors * SignificantLoadShare;
 }
 
 void RunnerDaemon::Implementation::sendReports()
@@ -556,10 +558,10 @@
         frame.agentReport->load = loadFor(this->state, link.instance, this->now);
         frame.agentReport->states = std::move(link.unsent);
         link.unsent.clear();
-        link.toldProcessors = frame.agentReport->load.committedProcessors;
-        if (link.toldOrphans != this->state.orphansChange) {
+        link.reportedProcessors = frame.agentReport->load.committedProcessors;
+        if (link.reportedOrphansChange != this->state.orphansChange) {
             frame.agentReport->orphans = this->state.orphans;
-            link.toldOrphans = this->state.orphansChange;
+            link.reportedOrphansChange = this->state.orphansChange;
         }
         this->sendTo(id, link, frame);
     }
@@ -572,14 +574,14 @@
 RunnerDaemon::~RunnerDaemon()
 {
     this->implementation->registration->stop();
-    this->implementation->operators->stop();
+    this->implementation->metricsServer->stop();
     this->implementation->store->stop();
     this->implementation->hub->stop();
 }
 
 std::uint16_t RunnerDaemon::metricsPort() const
 {
-    return this->implementation->operators->port();
+    return this->implementation->metricsServer->port();
 }
 
 void RunnerDaemon::requestStop()
--- a/Source/Core/Transient/Admission.cpp
+++ b/Source/Core/Transient/Admission.cpp
@@ -7,43 +7,45 @@
 
 namespace {
 
-/// Callers are told whole seconds, and none sooner than the backlog can have changed.
+/// Callers receive the retry time in whole seconds; the shortest leaves the backlog time to change.
 constexpr double ShortestRetryMs = 1000;
 constexpr double LongestRetryMs = 10'000;
-/// Of one answer in the mean: a dozen answers, a third of a second of a queue's traffic on the
-/// smallest sites, show a change.
-constexpr double AnswerShare = 1.0 / 12;
-/// Without answers the correction is forgotten: a queue whose jobs are all refused would otherwise
-/// never learn that its predictions hold again. Two or three overloaded rounds of short jobs.
-constexpr double ForgetHalfLifeMs = 1000;
-/// A single job may take a hundred times as long as predicted, when its backend server hangs.
-constexpr double MostLogStretch = 1.4;
-
-double forgotten(const PredictionError &error, std::int64_t nowMs)
+/// Weight of one answer in the moving average: a dozen answers, which is a third of a second of a
+/// queue's traffic on the smallest sites, show a change.
+constexpr double AnswerWeight = 1.0 / 12;
+/// The correction decays while there are no answers: a queue whose jobs are all refused would
+/// otherwise never detect that its predictions are right again. The half-life is as long as two or
+/// three rounds of short jobs under overload.
+constexpr double CorrectionHalfLifeMs = 1000;
+/// Limits the effect of a single answer: a job may take a hundred times as long as predicted when
+/// its backend server hangs.
+constexpr double MaxLogStretch = 1.4;
+
+double decayedLogStretch(const PredictionError &error, std::int64_t nowMs)
 {
     const auto idleMs = static_cast<double>(nowMs - error.observedMs);
-    return error.logStretch * std::exp2(-idleMs / ForgetHalfLifeMs);
+    return error.logStretch * std::exp2(-idleMs / CorrectionHalfLifeMs);
 }
 
 } // namespace
 
-void answerObserved(PredictionError &error, double predictedMs, double takenMs, std::int64_t nowMs)
+void observeAnswer(PredictionError &error, double predictedMs, double takenMs, std::int64_t nowMs)
 {
     const double logStretch = std::log(std::max(takenMs, 1.0) / std::max(predictedMs, 1.0));
-    const double bounded = std::clamp(logStretch, -MostLogStretch, MostLogStretch);
-    const double before = forgotten(error, nowMs);
-    error.logStretch = before + AnswerShare * (bounded - before);
+    const double bounded = std::clamp(logStretch, -MaxLogStretch, MaxLogStretch);
+    const double before = decayedLogStretch(error, nowMs);
+    error.logStretch = before + AnswerWeight * (bounded - before);
     error.observedMs = nowMs;
 }
 
 double expectedStretch(const PredictionError &error, std::int64_t nowMs)
 {
-    return std::exp(std::max(forgotten(error, nowMs), 0.0));
+    return std::exp(std::max(decayedLogStretch(error, nowMs), 0.0));
 }
 
 std::optional<JobResult> decideAdmission(const AdmissionLimits &limits, const AdmissionQuery &query)
 {
-    const double usefulMs = std::min(query.deadlineMs, query.targetMs * limits.mostLateness);
+    const double usefulMs = std::min(query.deadlineMs, query.targetMs * limits.maxLateness);
     if (!limits.refuses || query.waitMs <= 0 || query.predictedMs * query.stretch <= usefulMs) {
         return std::nullopt;
     }
--- a/Source/Core/Transient/Attempts.cpp
+++ b/Source/Core/Transient/Attempts.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 
-/// What becomes of a task at an agent, and what follows for its job.
+/// Handles reports of agents about attempts, and their consequences for tasks and jobs.
 namespace Transient {
 
 namespace {
@@ -11,7 +11,8 @@
 using Schema::Reason;
 
 constexpr const char *RetryCounter = "auburntrail_transient_retries_total";
-/// An agent that gave a task back for want of room gets none until its next reports are in.
+/// How long an agent that returned a task for lack of room gets no others; its next reports arrive
+/// within this time.
 constexpr std::int64_t RefusedPauseMs = 50;
 
 void releaseTask(GatewayState &state, JobRecord &job, StepRecord &step, TaskRecord &task)
@@ -21,13 +22,14 @@
     if (agent != state.fleet.agents.end()) {
         agent->second.inFlight = std::max<std::int64_t>(0, agent->second.inFlight - 1);
     }
-    const auto there = step.tasksThere.find(task.agent);
-    if (there != step.tasksThere.end() && there->second > 0) {
-        --there->second;
+    const auto tasksAtAgent = step.tasksByAgent.find(task.agent);
+    if (tasksAtAgent != step.tasksByAgent.end() && tasksAtAgent->second > 0) {
+        --tasksAtAgent->second;
     }
 }
 
-/// The task is over where it was and still wanted: it waits for another agent.
+/// Makes a task ready again whose last attempt is over. With \a avoidsAgent, the agent of that
+/// attempt is used again only if there is no other.
 void retryTask(GatewayState &state, JobRecord &job, TaskRecord &task, bool avoidsAgent)
 {
     task.phase = TaskPhase::Ready;
@@ -40,35 +42,37 @@
     }
 }
 
-Note retryNote(const JobRecord &job, const TaskRecord &task, const Schema::AttemptState &reported)
+LogLine retryLogLine(const JobRecord &job, const TaskRecord &task,
+                     const Schema::AttemptState &reported)
 {
-    return Note{"task_retried",
-                {{"job", job.id},
-                 {"task", reported.task},
-                 {"attempt", std::to_string(reported.attempt)},
-                 {"agent", task.agent},
-                 {"phase", Schema::enumName(reported.phase)},
-                 {"reason", Schema::enumName(reported.reason)},
-                 {"run_ms", std::to_string(reported.runMs)},
-                 {"failures", std::to_string(task.failures)}}};
+    return LogLine{"task_retried",
+                   {{"job", job.id},
+                    {"task", reported.task},
+                    {"attempt", std::to_string(reported.attempt)},
+                    {"agent", task.agent},
+                    {"phase", Schema::enumName(reported.phase)},
+                    {"reason", Schema::enumName(reported.reason)},
+                    {"run_ms", std::to_string(reported.runMs)},
+                    {"failures", std::to_string(task.failures)}}};
 }
 
-void learn(GatewayState &state, Effects &effects, const StepRecord &step, const TaskRecord &task,
-           const Schema::AttemptState &reported, Common::Moment now)
+void learnFromAttempt(GatewayState &state, Effects &effects, const StepRecord &step,
+                      const TaskRecord &task, const Schema::AttemptState &reported,
+                      Common::Moment now)
 {
     const auto agent = state.fleet.agents.find(task.agent);
-    const bool tells = reported.phase == AttemptPhase::Succeeded
-                       || reported.phase == AttemptPhase::Failed
-                       || reported.reason == Reason::BackendRefused;
-    if (agent == state.fleet.agents.end() || !tells) {
+    const bool isInformative = reported.phase == AttemptPhase::Succeeded
+                               || reported.phase == AttemptPhase::Failed
+                               || reported.reason == Reason::BackendRefused;
+    if (agent == state.fleet.agents.end() || !isInformative) {
         return;
     }
     RunOutcome outcome;
     outcome.succeeded = reported.phase == AttemptPhase::Succeeded;
     outcome.expectedMs = task.expectedMs;
     outcome.runMs = reported.runMs;
-    if (runEnded(state.fleet, agent->second, step.profile, outcome, now.steadyMs)) {
-        effects.emplace_back(Note{
+    if (recordRunOutcome(state.fleet, agent->second, step.profile, outcome, now.steadyMs)) {
+        effects.emplace_back(LogLine{
                 "backend_ejected",
                 {{"agent", task.agent},
                  {"task", reported.task},
@@ -101,15 +105,15 @@
                endJob(state, job, {JobOutcome::Failed, Reason::AttemptsExhausted, 0}, now));
         return;
     }
-    effects.emplace_back(retryNote(job, task, reported));
+    effects.emplace_back(retryLogLine(job, task, reported));
     effects.emplace_back(CountReason{RetryCounter, Reason::TaskFailed});
     retryTask(state, job, task, true);
 }
 
-void taskGivenBack(GatewayState &state, Effects &effects, JobRecord &job, TaskRecord &task,
-                   const Schema::AttemptState &reported, Common::Moment now)
+void handleReturnedTask(GatewayState &state, Effects &effects, JobRecord &job, TaskRecord &task,
+                        const Schema::AttemptState &reported, Common::Moment now)
 {
-    effects.emplace_back(retryNote(job, task, reported));
+    effects.emplace_back(retryLogLine(job, task, reported));
     effects.emplace_back(CountReason{RetryCounter, reported.reason});
     const bool isFull = reported.reason == Reason::NoRoom;
     if (isFull) {
@@ -123,9 +127,9 @@
 
 } // namespace
 
-Effects attemptEnded(GatewayState &state, const std::string &instance,
-                     const Schema::AttemptState &reported, Common::Moment now,
-                     Common::Random &random)
+Effects handleAttemptState(GatewayState &state, const std::string &instance,
+                           const Schema::AttemptState &reported, Common::Moment now,
+                           Common::Random &random)
 {
     Effects effects;
     const auto ref = parseTaskName(reported.task);
@@ -146,7 +150,7 @@
         return effects;
     }
     StepRecord &step = job.steps[static_cast<std::size_t>(ref->step)];
-    learn(state, effects, step, *task, reported, now);
+    learnFromAttempt(state, effects, step, *task, reported, now);
     releaseTask(state, job, step, *task);
     if (reported.phase == AttemptPhase::Succeeded) {
         taskSucceeded(state, effects, job, step, *task, now);
@@ -155,13 +159,13 @@
     } else if (reported.phase == AttemptPhase::Failed) {
         taskFailed(state, effects, job, *task, reported, now);
     } else {
-        taskGivenBack(state, effects, job, *task, reported, now);
+        handleReturnedTask(state, effects, job, *task, reported, now);
     }
     if (!job.result && job.ready > 0) {
         append(effects, placeAndOrder(state, job, now, random));
     }
     const std::string id = job.id;
-    forgetIfSettled(state, id, now);
+    removeIfSettled(state, id, now);
     append(effects, admitParked(state, id, now, random));
     return effects;
 }
--- a/Source/Core/Transient/Jobs.cpp
+++ b/Source/Core/Transient/Jobs.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "Transient/JobsParts.h"
+#include "Transient/JobsInternal.h"
 #include "Transient/Orphans.h"
 #include "Transient/Resubmission.h"
 
@@ -13,17 +13,19 @@
 
 using Schema::Reason;
 
-/// Bounds the work that one round of timers can cost.
+/// Least time between two rounds of timers; bounds the work that timers cause.
 constexpr std::int64_t SweepMs = 20;
+/// Slack for timers that run late.
 constexpr std::int64_t LateTimersMs = 170;
 
-/// Jobs without an answer for which \a isMeant, in a fixed order, so that a seed replays.
+/// Ids of the jobs without a result that \a isSelected accepts, in a fixed order, so that a seed
+/// reproduces a run.
 template <typename Test>
-std::vector<std::string> openJobs(const GatewayState &state, Test isMeant)
+std::vector<std::string> openJobs(const GatewayState &state, Test isSelected)
 {
     std::vector<std::string> open;
     for (const auto &[id, job] : state.jobs) {
-        if (!job.result && isMeant(job)) {
+        if (!job.result && isSelected(job)) {
             open.push_back(id);
         }
     }
@@ -31,7 +33,8 @@
     return open;
 }
 
-/// Ends a job that will not be served: "not run" is true only where nothing of it was ordered.
+/// Ends a job that cannot be completed. It counts as refused, which means "not run", only if none
+/// of its tasks was ordered.
 Effects endUnserved(GatewayState &state, const std::string &id, Reason gaveUp, Reason refused,
                     Common::Moment now)
 {
@@ -39,25 +42,25 @@
     const JobResult result = job.anyOrdered ? JobResult{JobOutcome::GaveUp, gaveUp, 0}
                                             : JobResult{JobOutcome::Refused, refused, RetryMs};
     Effects effects = endJob(state, job, result, now);
-    forgetIfSettled(state, id, now);
+    removeIfSettled(state, id, now);
     return effects;
 }
 
-/// A gateway that stops has no time left: its callers get a final answer while the process still
-/// lives, and what runs for them is stopped before they submit again. Otherwise their connections
-/// would close without a word.
+/// Ends all jobs when a stopping gateway has no time left. Callers get a final answer before the
+/// process exits, and their tasks are stopped before they submit again. Otherwise their connections
+/// would close without an answer.
 Effects endAll(GatewayState &state, Common::Moment now)
 {
     Effects effects;
     for (const std::string &id : openJobs(state, [](const JobRecord &) { return true; })) {
         append(effects, endUnserved(state, id, Reason::Stopping, Reason::Stopping, now));
     }
-    // An earlier life of these ids has run: "not run" would not be true.
+    // Tasks of an earlier job with the same id have run: "not run" would not be true.
     for (const auto &[id, waiting] : state.parked) {
         for (const Submission &submission : waiting) {
             effects.emplace_back(
-                    Note{"parked_job_given_up",
-                         {{"job", id}, {"reason", Schema::enumName(Reason::Stopping)}}});
+                    LogLine{"parked_job_given_up",
+                            {{"job", id}, {"reason", Schema::enumName(Reason::Stopping)}}});
             effects.emplace_back(
                     AnswerCaller{submission.token, id, {JobOutcome::GaveUp, Reason::Stopping, 0}});
         }
@@ -66,7 +69,7 @@
     return effects;
 }
 
-/// Jobs past their time, or of which nothing could be placed in time to be of use.
+/// Ends jobs past their deadline, and jobs of which no task was ordered in time to be of use.
 Effects endOverdue(GatewayState &state, Common::Moment now, Common::Random &random)
 {
     Effects effects;
@@ -83,18 +86,18 @@
     return effects;
 }
 
-template <typename Remembered>
-void forgetOld(std::unordered_map<std::string, Remembered> &remembered, Common::Moment now)
+template <typename Record>
+void removeExpired(std::unordered_map<std::string, Record> &records, Common::Moment now)
 {
-    for (auto entry = remembered.begin(); entry != remembered.end();) {
-        entry = now.steadyMs >= entry->second.forgetMs ? remembered.erase(entry) : std::next(entry);
+    for (auto entry = records.begin(); entry != records.end();) {
+        entry = now.steadyMs >= entry->second.expiresAtMs ? records.erase(entry) : std::next(entry);
     }
 }
 
-void forgetFinished(GatewayState &state, Common::Moment now)
+void removeExpiredRecords(GatewayState &state, Common::Moment now)
 {
-    forgetOld(state.finished, now);
-    forgetOld(state.formerAttempts, now);
+    removeExpired(state.finished, now);
+    removeExpired(state.formerAttempts, now);
 }
 
 } // namespace
@@ -116,7 +119,7 @@
     const std::string id = submission.request.id;
     const auto finished = state.finished.find(id);
     if (finished != state.finished.end()) {
-        effects.emplace_back(Note{"job_answered_again", {{"job", id}}});
+        effects.emplace_back(LogLine{"job_answered_again", {{"job", id}}});
         effects.emplace_back(AnswerCaller{submission.token, id, finished->second.result});
         return effects;
     }
@@ -125,16 +128,16 @@
         if (!isOrphaned(state, id, now)) {
             return admit(state, std::move(submission), now, random);
         }
-        effects.emplace_back(Note{"job_parked", {{"job", id}, {"orphaned", "true"}}});
+        effects.emplace_back(LogLine{"job_parked", {{"job", id}, {"orphaned", "true"}}});
         state.parked[id].push_back(std::move(submission));
         return effects;
     }
     JobRecord &job = found->second;
     if (!job.result) {
-        effects.emplace_back(Note{"job_joined",
-                                  {{"job", id},
-                                   {"requests", std::to_string(job.tokens.size() + 1)},
-                                   {"age_ms", std::to_string(now.steadyMs - job.receivedMs)}}});
+        effects.emplace_back(LogLine{"job_joined",
+                                     {{"job", id},
+                                      {"requests", std::to_string(job.tokens.size() + 1)},
+                                      {"age_ms", std::to_string(now.steadyMs - job.receivedMs)}}});
         job.tokens.push_back(submission.token);
         return effects;
     }
@@ -143,12 +146,12 @@
         return effects;
     }
     effects.emplace_back(
-            Note{"job_parked", {{"job", id}, {"unsettled", std::to_string(job.unsettled)}}});
+            LogLine{"job_parked", {{"job", id}, {"unsettled", std::to_string(job.unsettled)}}});
     state.parked[id].push_back(std::move(submission));
     return effects;
 }
 
-Effects callerGone(GatewayState &state, const std::string &token, Common::Moment now)
+Effects handleCallerDisconnected(GatewayState &state, const std::string &token, Common::Moment now)
 {
     for (auto &[id, waiting] : state.parked) {
         waiting.erase(
@@ -167,7 +170,7 @@
         }
         const std::string key = id;
         Effects effects = endJob(state, job, {JobOutcome::GaveUp, Reason::CallerGone, 0}, now);
-        forgetIfSettled(state, key, now);
+        removeIfSettled(state, key, now);
         return effects;
     }
     return {};
@@ -180,7 +183,7 @@
         return {};
     }
     Effects effects = endJob(state, found->second, {JobOutcome::GaveUp, Reason::Cancelled, 0}, now);
-    forgetIfSettled(state, id, now);
+    removeIfSettled(state, id, now);
     return effects;
 }
 
@@ -198,15 +201,15 @@
     }
     state.sweptMs = now.steadyMs;
     advanceFleet(state.fleet, now.steadyMs);
-    forgetLost(state, effects, now);
-    append(effects, settleFormers(state, now, random));
+    removeLostAgents(state, effects, now);
+    append(effects, settleFormerAgents(state, now, random));
     append(effects, endOverdue(state, now, random));
     append(effects, admitReleased(state, now, random));
     if (state.isStopping && now.steadyMs >= state.stopDeadlineMs) {
         append(effects, endAll(state, now));
     }
     append(effects, placeWaiting(state, now, random));
-    forgetFinished(state, now);
+    removeExpiredRecords(state, now);
     return effects;
 }
 
@@ -220,7 +223,7 @@
         }
     }
     for (const auto &[name, agent] : state.fleet.agents) {
-        if (!agent.isLinked) {
+        if (!agent.isConnected) {
             next = std::min(next, agent.settledAtMs);
         }
     }
--- a/Source/Core/Transient/Learned.cpp
+++ b/Source/Core/Transient/Learned.cpp
@@ -6,22 +6,26 @@
 
 namespace {
 
-/// Speeds change within seconds, and a record that is this old still tells fast from slow.
+/// Speeds change within seconds, but a record of this age still distinguishes fast backend servers
+/// from slow ones.
 constexpr std::int64_t ShortestPauseMs = 5000;
-/// Some 90 bytes an agent: 1.8 KB/s at any size of the fleet, a seventh of what a node may spend.
+/// About 90 bytes for each agent: 1.8 KB/s for a fleet of any size, a seventh of what a node may
+/// use.
 constexpr std::int64_t PausePerAgentMs = 50;
 
-/// Between two attempts at reading what other gateways have learned.
+/// Pause between two attempts to read what other gateways have learned.
 constexpr std::int64_t ReadRetryMs = 1000;
-/// By then a gateway knows more by itself: a hundred tasks a second show each backend server.
+/// After this time a gateway has learned more by itself: a hundred tasks per second reach every
+/// backend server.
 constexpr std::int64_t ReadUntilMs = 10'000;
 
-/// Longer than any caller waits: a figure beyond it was not learned.
-constexpr double LongestPatienceMs = 300'000;
+/// Longer than any caller waits: a greater value cannot have been learned.
+constexpr double LongestRemainingTimeoutMs = 300'000;
 
-bool isPlausible(const Schema::LearnedPatience &patience)
+bool isPlausible(const Schema::LearnedPatience &remainingTimeout)
 {
-    return patience.usualMs > 0 && patience.usualMs <= LongestPatienceMs && patience.samples > 0;
+    return remainingTimeout.usualMs > 0 && remainingTimeout.usualMs <= LongestRemainingTimeoutMs
+           && remainingTimeout.samples > 0;
 }
 
 std::int64_t pauseMs(const Fleet &fleet)
@@ -39,7 +43,7 @@
     Schema::LearnedTimes learned;
     learned.gateway = gateway;
     learned.writtenMs = now.wallMs;
-    for (const Dispatch::RecalledProfile &profile : Dispatch::learnedProfiles(fleet.estimates)) {
+    for (const Dispatch::ProfileSummary &profile : Dispatch::learnedProfiles(fleet.estimates)) {
         learned.profiles.push_back({profile.key, profile.meanLog, profile.meanMs, profile.samples});
     }
     for (const auto &[name, agent] : fleet.agents) {
@@ -48,8 +52,8 @@
                     {name, agent.announced.labels, agent.speed.logFactor, agent.speed.samples});
         }
     }
-    for (const auto &[queue, patience] : state.patiences) {
-        learned.patiences.push_back({queue, patience.samples, patience.usualMs});
+    for (const auto &[queue, remainingTimeout] : state.patiences) {
+        learned.patiences.push_back({queue, remainingTimeout.samples, remainingTimeout.usualMs});
     }
     return learned;
 }
@@ -58,17 +62,17 @@
 {
     Fleet &fleet = state.fleet;
     for (const Schema::LearnedPatience &recalled : learned.patiences) {
-        UsualPatience &known = state.patiences[recalled.queue];
+        UsualRemainingTimeout &known = state.patiences[recalled.queue];
         if (isPlausible(recalled) && known.samples < recalled.samples) {
             known = {recalled.usualMs, recalled.samples};
         }
     }
     for (const Schema::LearnedProfile &profile : learned.profiles) {
-        Dispatch::recallProfile(fleet.estimates,
+        Dispatch::importProfile(fleet.estimates,
                                 {profile.key, profile.meanMs, profile.meanLog, profile.samples});
     }
     for (const Schema::LearnedSpeed &speed : learned.speeds) {
-        fleet.remembered.emplace(speed.agent, speed);
+        fleet.recalledSpeeds.emplace(speed.agent, speed);
     }
     for (auto &[name, agent] : fleet.agents) {
         recallSpeedOf(fleet, agent);
@@ -77,11 +81,11 @@
 
 void recallSpeedOf(Fleet &fleet, AgentView &agent)
 {
-    const auto found = fleet.remembered.find(agent.announced.name);
-    if (found == fleet.remembered.end() || found->second.labels != agent.announced.labels) {
+    const auto found = fleet.recalledSpeeds.find(agent.announced.name);
+    if (found == fleet.recalledSpeeds.end() || found->second.labels != agent.announced.labels) {
         return;
     }
-    Dispatch::recallSpeed(agent.speed, {found->second.logFactor, found->second.samples});
+    Dispatch::importSpeed(agent.speed, {found->second.logFactor, found->second.samples});
 }
 
 LearnedSchedule scheduleLearned(const Fleet &fleet, Common::Moment now)
@@ -106,7 +110,7 @@
     return true;
 }
 
-void learnedRead(LearnedSchedule &schedule)
+void finishReading(LearnedSchedule &schedule)
 {
     schedule.nextReadMs.reset();
 }
--- a/Source/Soak/Faults.h
+++ b/Source/Soak/Faults.h
@@ -10,31 +10,32 @@
 
 namespace Soak {
 
-/// Brings the faults of a schedule about at a site, and ends them.
+/// Injects the faults of a schedule into a site, and ends them.
 class Faults
 {
 public:
     Faults(Site &site, Load &load, std::vector<Fault> schedule);
 
-    /// Counts the schedule from now on.
+    /// Starts the schedule: its times are relative to this call.
     void begin();
-    /// Starts and ends what is due.
+    /// Starts and ends the faults that are due.
     void tick();
-    /// Brings no further fault about; those in force end at their times.
-    void skipRest() { this->nextFault = this->schedule.size(); }
-    /// True where all of the schedule has been and is over.
-    bool areOver() const;
-    const std::vector<FaultWindow> &windows() const { return this->done; }
+    /// Injects no further scheduled faults. Active faults end at their times.
+    void skipRemaining() { this->nextFault = this->schedule.size(); }
+    /// Whether no fault is left to inject and no action of an injected fault is pending. Processes
+    /// may still be down or frozen, see Site::isFullyRunning().
+    bool areFinished() const;
+    const std::vector<FaultWindow> &windows() const { return this->injected; }
 
 private:
-    void bringAbout(const Fault &fault);
-    void note(const Fault &fault, const std::string &target);
+    void inject(const Fault &fault);
+    void recordFault(const Fault &fault, const std::string &target);
     void killAll(const Fault &fault);
-    void roll(const Fault &fault);
+    void restartInTurn(const Fault &fault);
     bool configure(const Fault &fault);
-    void spoilLink(const Fault &fault);
-    bool spoilServer(const Fault &fault, const std::string &server);
-    void later(std::int64_t afterMs, std::function<void()> action);
+    void injectLinkFault(const Fault &fault);
+    bool injectServerFault(const Fault &fault, const std::string &server);
+    void scheduleAction(std::int64_t afterMs, std::function<void()> action);
     void updateLink(const std::string &link);
 
     Site &site;
@@ -44,8 +45,8 @@
     std::int64_t startedMs = 0;
     std::int64_t version = 1;
     std::multimap<std::int64_t, std::function<void()>> actions;
-    std::map<std::string, std::map<std::size_t, LinkTrouble>> troubles;
-    std::vector<FaultWindow> done;
+    std::map<std::string, std::map<std::size_t, LinkImpairment>> impairments;
+    std::vector<FaultWindow> injected;
 };
 
 } // namespace Soak
--- a/Source/UnitTests/Agent/FenceTest.cpp
+++ b/Source/UnitTests/Agent/FenceTest.cpp
@@ -34,7 +34,7 @@
         Schema::StartTask task = site.makeTask("refused");
         row.alter(site, task);
         site.start("g1", task);
-        CHECK(site.told("g1", "refused") == std::string("not_started/") + row.reason);
+        CHECK(site.reportedState("g1", "refused") == std::string("not_started/") + row.reason);
         CHECK(site.startsOf("refused") == 0);
     }
 }
@@ -65,14 +65,14 @@
         for (const std::string &gateway : row.silent) {
             site.answering.erase(gateway);
         }
-        site.pass(2500);
+        site.advanceTime(2500);
         CHECK((Agent::leaseLeftMs(site.state.fence, site.now) > 0) == row.accepted);
     }
 }
 
-// A patrol's job was taken over by g2 while g1 was paused. g1 wakes and sends its start message.
-// The agent has been told the new epoch, so that g1 learns "not started"; without the fence the
-// crew would be sent by both.
+// g2 took over the shard of a job while g1 was paused. g1 resumes and sends its start message. The
+// agent knows the new epoch and answers "not started"; without the fence the task would run for
+// both owners.
 TEST_CASE("A start of an owner that was replaced is refused")
 {
     for (const bool fenced : {true, false}) {
@@ -87,14 +87,16 @@
         site.start("g1", late);
         CHECK(site.startsOf("crew") == (fenced ? 1 : 2));
         site.start("g1", site.makeTask("other", 1));
-        CHECK(site.told("g1", "other") == (fenced ? "not_started/epoch_fenced" : "nothing"));
+        CHECK(site.reportedState("g1", "other")
+              == (fenced ? "not_started/epoch_fenced" : "nothing"));
     }
 }
 
-// The agent is cut off from g2 and g3, which let g2 take the shard and serve. g1, cut off with the
-// agent, knows nothing of it and goes on sending. The lease is what stops the agent from starting
-// g1's tasks; when the agent hears from the others again it learns the epoch with the same answer.
-TEST_CASE("A lapsed lease stops starts until a majority is heard again")
+// The agent is cut off from g2 and g3, so that g2 can take over the shard and serve it. g1, cut off
+// together with the agent, does not know of this and goes on sending starts. Only the expired lease
+// prevents the agent from starting g1's tasks. When the agent receives answers of the others again,
+// they renew the lease and contain the new epoch as well.
+TEST_CASE("A lapsed lease prevents starts until a majority of gateways answers again")
 {
     for (const bool leased : {true, false}) {
         CAPTURE(leased);
@@ -102,19 +104,20 @@
         site.state.fence.leaseChecked = leased;
         site.join();
         site.answering = {"g1"};
-        site.pass(2200);
+        site.advanceTime(2200);
         site.start("g1", site.makeTask("cut-off"));
         CHECK(site.startsOf("cut-off") == (leased ? 0 : 1));
-        CHECK(site.told("g1", "cut-off") == (leased ? "not_started/lease_lapsed" : "nothing"));
+        CHECK(site.reportedState("g1", "cut-off")
+              == (leased ? "not_started/lease_lapsed" : "nothing"));
         site.answering = {"g1", "g2", "g3"};
-        site.pass(1000);
+        site.advanceTime(1000);
         site.start("g1", site.makeTask("back"));
         CHECK(site.startsOf("back") == 1);
     }
 }
 
-// An answer renews the lease but lacks the table version it names. Counting it would let an owner
-// that is already fenced elsewhere start tasks here for another lease.
+// A hello answer names a table version that the agent has not received. If it renewed the lease, an
+// owner that is already fenced at other agents could start tasks here for another lease.
 TEST_CASE("An answer without its epochs does not renew the lease")
 {
     AgentFixture site(1);
@@ -123,16 +126,17 @@
     Schema::GatewayPong pong;
     pong.instance = "g1";
     pong.tableVersion = site.table.version + 1;
-    Agent::noteAnswer(site.state.fence, pong, site.now.steadyMs + 100);
+    Agent::recordHelloAnswer(site.state.fence, pong, site.now.steadyMs + 100);
     CHECK(Agent::leaseEndMs(site.state.fence) == before);
     pong.tableVersion = site.table.version;
-    Agent::noteAnswer(site.state.fence, pong, site.now.steadyMs + 100);
+    Agent::recordHelloAnswer(site.state.fence, pong, site.now.steadyMs + 100);
     CHECK(Agent::leaseEndMs(site.state.fence) > before);
 }
 
-// The agent's process is stopped between its check and the start, and goes on after the lease has
-// lapsed and a successor serves. The start then carries a time that has passed, and the backend
-// server, on the same machine's clock, refuses it: the task is proved not started.
+// The agent's process is paused between its check and the start, and resumes after the lease has
+// expired and a successor serves. The start then carries a time that has passed, and the backend
+// server, which uses the clock of the same machine, refuses it: this proves that the task has not
+// started.
 TEST_CASE("A start carries the end of the lease for the backend server to check")
 {
     AgentFixture site;
@@ -144,7 +148,7 @@
     site.now.steadyMs += 60'000;
     site.now.wallMs += 60'000;
     site.finish("paused", 412);
-    CHECK(site.told("g1", "paused") == "not_started/not_after_passed");
+    CHECK(site.reportedState("g1", "paused") == "not_started/not_after_passed");
 
     Schema::StartTask soon = site.makeTask("soon");
     AgentFixture other;
@@ -154,8 +158,8 @@
     CHECK(other.runs.at(0).notAfterMs == soon.notAfterMs);
 }
 
-// The agent is paused with tasks in its queue. When it wakes, a slot becomes free before anything
-// else is read. The lease has lapsed meanwhile: the queued task must not be started.
+// The agent is paused with tasks in its queue. When it resumes, a slot becomes free before any
+// frame is read. The lease has expired meanwhile, so that the queued task must not start.
 TEST_CASE("A pause while a task is queued ends in a refusal")
 {
     AgentFixture site;
@@ -166,8 +170,8 @@
     site.now.wallMs += 10'000;
     site.finish("job-0");
     CHECK(site.startsOf("job-8") == 0);
-    CHECK(site.told("g1", "job-8") == "not_started/lease_lapsed");
-    CHECK(site.told("g1", "job-0") == "succeeded/none");
+    CHECK(site.reportedState("g1", "job-8") == "not_started/lease_lapsed");
+    CHECK(site.reportedState("g1", "job-0") == "succeeded/none");
 }
 
 TEST_CASE("Epochs never fall, whatever table arrives in whatever order")
@@ -176,10 +180,10 @@
     Schema::OwnershipTable table;
     table.version = 10;
     table.shards = {{5, "g1", 0}, {6, "g2", 1}};
-    CHECK(Agent::adoptTable(fence, table).size() == 2);
+    CHECK(Agent::mergeTable(fence, table).size() == 2);
     table.version = 9;
     table.shards = {{4, "g3", 0}, {7, "g3", 1}};
-    CHECK(Agent::adoptTable(fence, table) == Agent::RaisedShards{1});
+    CHECK(Agent::mergeTable(fence, table) == Agent::RaisedShards{1});
     CHECK(fence.tableVersion == 10);
     CHECK(Agent::ownerOf(fence, 0) == "g1");
     CHECK(Agent::ownerOf(fence, 1) == "g3");
--- a/Source/UnitTests/Dispatch/Configuration/ConfigStoreTest.cpp
+++ b/Source/UnitTests/Dispatch/Configuration/ConfigStoreTest.cpp
@@ -33,7 +33,7 @@
     return change;
 }
 
-/// Some stores on one stream.
+/// Several configuration stores that read and write one log stream.
 struct Site
 {
     std::vector<ConfigStore> stores;
@@ -71,7 +71,7 @@
             if (const auto *append = std::get_if<AppendToLog>(&effect)) {
                 this->stream.insert(this->stream.end(), append->records.begin(),
                                     append->records.end());
-                configAppendDone(this->stores[store], append->batch, status, at(ms));
+                handleConfigAppendResult(this->stores[store], append->batch, status, at(ms));
             }
         }
     }
@@ -88,7 +88,7 @@
             entry.record = this->stream[static_cast<std::size_t>(offset)];
             read.entries.push_back(std::move(entry));
         }
-        configRead(this->stores[store], read, at(ms));
+        handleConfigRead(this->stores[store], read, at(ms));
     }
 };
 
@@ -122,11 +122,11 @@
     }
 }
 
-TEST_CASE("Of two operators who race the first in the log wins, and the loser is told")
+TEST_CASE("The first of two changes in the log is applied, the second is reported as a conflict")
 {
-    // Two operators change one team at two gateways, both based on version 0. The log takes one
-    // first. That one is in force everywhere; the other is told of the conflict, and its record
-    // changes nothing, not even when an answer is lost and it is appended again.
+    // Two operators change one team at two gateways, both based on version 0. The change that is
+    // first in the log takes effect everywhere; the other is answered with a conflict. Neither the
+    // second record nor a repetition of the first one, whose answer was lost, changes anything.
     for (const bool on : {true, false}) {
         CAPTURE(on);
         Safeguards safeguards;
@@ -142,8 +142,8 @@
         }
         const Schema::Configuration &last = configuration(site.stores[2]);
         CHECK((last.version == 1) == on);
-        CHECK((takeChangeResults(site.stores[1]).at(0).verdict == ChangeVerdict::Conflict) == on);
-        CHECK(takeChangeResults(site.stores[0]).at(0).verdict == ChangeVerdict::Accepted);
+        CHECK((takeChangeResults(site.stores[1]).at(0).status == ChangeStatus::Conflict) == on);
+        CHECK(takeChangeResults(site.stores[0]).at(0).status == ChangeStatus::Accepted);
         CHECK(last.teams.at(0).weight == 1);
         CHECK(site.propose(1, team("quotes", 3), 0, 400) == Schema::Reason::ConfigConflict);
     }
@@ -155,7 +155,7 @@
     site.propose(0, team("quotes", 1), 0, 0);
     site.append(0, 0, AppendStatus::Durable);
     site.read(0, 10);
-    peerHasVersion(site.stores[1], 1);
+    updatePeerVersion(site.stores[1], 1);
     CHECK_FALSE(configurationReady(site.stores[1]));
     CHECK(adoptConfiguration(site.stores[1], configuration(site.stores[0])));
     CHECK(configurationReady(site.stores[1]));
@@ -167,8 +167,8 @@
 
 TEST_CASE("A fresh gateway starts from a snapshot after retention dropped the changes")
 {
-    // The changes are older than the log keeps them. One gateway has put the document into the log
-    // again in time; a fresh one takes that, with the changes that came after it.
+    // The log has dropped the first change because of its age. One gateway has written a snapshot
+    // of the configuration in time; a new gateway reads the snapshot and the changes after it.
     Site site(2);
     site.propose(0, team("quotes", 1), 0, 0);
     site.append(0, 0, AppendStatus::Durable);
--- a/Source/UnitTests/Dispatch/Ownership/OwnershipTest.cpp
+++ b/Source/UnitTests/Dispatch/Ownership/OwnershipTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::int64_t FirstServing = 2000;
+constexpr std::int64_t StartUpMs = 2000;
 
 World threeGateways(std::uint64_t seed, const Dispatch::Safeguards &safeguards = {})
 {
@@ -23,7 +23,7 @@
 TEST_CASE("Gateways that start together share the shards and serve at once")
 {
     World world = threeGateways(1);
-    run(world, FirstServing);
+    run(world, StartUpMs);
     CHECK(world.oracle.violation == "");
     CHECK(servedShards(world) == world.settings.shardCount);
     for (const auto &gateway : world.gateways) {
@@ -35,13 +35,14 @@
 
 TEST_CASE("No schedule of faults starts a job twice, and a healed site serves every shard")
 {
-    // Callers resubmit everywhere while gateways die, pause, leave, lose each other, agents or the
-    // log, and appends take effect late or without an answer. Each job starts at most once, epochs
-    // at the agents never fall, and once the faults end all shards are served again.
+    // Callers resubmit to all gateways while gateways are killed, paused, leave, or lose the
+    // connection to each other, to agents or to the log, and while appends are written late or
+    // without an answer. Each job starts at most once, epochs at the agents never decrease, and all
+    // shards are served again after the faults end.
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         CAPTURE(seed);
         World world = threeGateways(seed);
-        run(world, FirstServing);
+        run(world, StartUpMs);
         chaos(world, ChaosPlan{}, 200);
         CHECK(world.oracle.violation == "");
         heal(world);
@@ -59,7 +60,7 @@
     return world.gateways[gateway]->member.instance;
 }
 
-/// Callers send new jobs, and every job again, to all gateways that take them.
+/// Submits a new job to every gateway each 20 ms.
 void submitEverywhere(World &world, std::int64_t ms)
 {
     for (std::int64_t past = 0; past < ms && world.oracle.violation.empty(); past += 20) {
@@ -79,8 +80,9 @@
     });
 }
 
-/// Gateways 0 and 1 with one agent lose the log and what the third gateway says. It hears them
-/// again after it has claimed their shards, but they don't know of the claim.
+/// Gateways 0 and 1 lose the log and all messages of gateway 2, and agent 0 loses gateway 2.
+/// Gateway 2 receives their messages again after it has claimed their shards, but they don't learn
+/// of the claim.
 void minorityTakesOver(World &world)
 {
     for (const std::size_t gateway : {0U, 1U}) {
@@ -96,9 +98,10 @@
     submitEverywhere(world, 3000);
 }
 
-/// Gateway 0 is heard by one agent only. It hears gateway 1 until the moment it is taken over from:
-/// for a lease it goes on believing that it may start, and so does the agent.
-void ownerLosesItsWord(World &world)
+/// Gateway 0 loses the log, and its messages reach no other gateway. It receives messages of
+/// gateway 1 until its shards are claimed; from then on agent 0 reaches gateway 0 only. For the
+/// length of a lease gateway 0 still starts tasks and agent 0 accepts them.
+void ownerIsPartitioned(World &world)
 {
     world.gateways[0]->cutFromLog = true;
     submitEverywhere(world, 1000);
@@ -111,7 +114,8 @@
     }
     cut(world, nameOf(world, 0), nameOf(world, 1), true);
     cut(world, world.agents[0].name, nameOf(world, 1), true);
-    // The successors take jobs of before the declaration: those were surely not started.
+    // The successors accept jobs that were first submitted before gateway 0 declared itself
+    // unlogged: those certainly have not started.
     for (int count = 0; count < 80 && world.oracle.violation.empty(); ++count) {
         for (const std::size_t gateway : {1U, 2U}) {
             submit(world, gateway, newJob(world), WallOffsetMs + 1500);
@@ -121,12 +125,12 @@
     }
 }
 
-/// Gateway 0 starts jobs and dies; the two others have not read their intents when they take over,
-/// and the callers resubmit.
+/// Gateway 0 starts jobs and is killed. The two others have not read the intents of these jobs when
+/// they take over, and the callers resubmit.
 void journalLagsBehind(World &world)
 {
-    world.gateways[1]->journalHeldUp = true;
-    world.gateways[2]->journalHeldUp = true;
+    world.gateways[1]->journalReadsBlocked = true;
+    world.gateways[2]->journalReadsBlocked = true;
     for (int count = 0; count < 20; ++count) {
         submit(world, 0, newJob(world), moment(world).wallMs);
         run(world, 20);
@@ -140,8 +144,8 @@
     run(world, 500);
 }
 
-/// The first gateway is cut off with an agent whose roster is that one alone. Two more join: a
-/// majority of three needs neither of those who know.
+/// Gateway 0, the only member of the roster, is cut off together with agent 0, which knows this
+/// roster only. Two more gateways join: they are a majority of three without gateway 0.
 void twoJoinsInARow(World &world)
 {
     world.gateways[0]->cutFromLog = true;
@@ -157,9 +161,10 @@
 
 TEST_CASE("Each safeguard that is switched off lets two owners start tasks of a shard")
 {
-    // An owner is cut off, its successor serves, and an agent that has not heard of it goes on
-    // taking the old owner's starts: a task of one shard starts under an old epoch after one of a
-    // newer, or the same job starts twice. With the safeguard on nothing of that happens.
+    // An owner is cut off, its successor serves, and an agent that does not know of the successor
+    // still accepts starts of the old owner. Then a task starts under an older epoch after a task
+    // of the same shard under a newer one, or a job starts twice. With the safeguard on, neither
+    // happens.
     struct Row
     {
         std::string name;
@@ -169,7 +174,7 @@
     };
     const Row rows[] = {
             {"fence majority", &Dispatch::Safeguards::fenceMajority, 3, minorityTakesOver},
-            {"lease wait", &Dispatch::Safeguards::leaseWait, 3, ownerLosesItsWord},
+            {"lease wait", &Dispatch::Safeguards::leaseWait, 3, ownerIsPartitioned},
             {"journal re-read", &Dispatch::Safeguards::journalReread, 3, journalLagsBehind},
             {"roster one at a time", &Dispatch::Safeguards::rosterOneAtATime, 1, twoJoinsInARow},
     };
@@ -185,7 +190,7 @@
                 for (int count = 0; count < row.gateways; ++count) {
                     addGateway(world);
                 }
-                run(world, FirstServing);
+                run(world, StartUpMs);
                 row.schedule(world);
                 violations += world.oracle.violation.empty() ? 0 : 1;
             }
--- a/Source/UnitTests/Dispatch/Persistence/JournalTest.cpp
+++ b/Source/UnitTests/Dispatch/Persistence/JournalTest.cpp
@@ -30,7 +30,7 @@
     std::uint64_t nextBatch = 1;
     Common::Random random;
 
-    /// The append that goes out at \a ms, if any.
+    /// Runs a tick at \a ms. Returns the append that it sends, if any.
     std::optional<AppendToLog> tick(std::int64_t ms)
     {
         for (const Effect &effect :
@@ -77,7 +77,7 @@
     addIntent(journal.state, intentOf("b", 1), at(1));
     CHECK(jobsIn(*first) == std::vector<std::string>{"a"});
     CHECK_FALSE(journal.tick(20).has_value());
-    journalAppendDone(journal.state, first->batch, AppendStatus::Durable, at(20));
+    handleJournalAppendResult(journal.state, first->batch, AppendStatus::Durable, at(20));
     CHECK(takeNewlyDurable(journal.state) == std::vector<std::string>{"a"});
     CHECK(intentState(journal.state, "a") == IntentState::Durable);
     CHECK(jobsIn(*journal.tick(21)) == std::vector<std::string>{"b", "c"});
@@ -85,25 +85,27 @@
 
 TEST_CASE("An append whose answer is lost goes out again under the same record id")
 {
-    // The caller's job waits. The log wrote the intents, but its answer never came. The same record
-    // is sent again, and reading either of the two lets the job start; readers count it once.
+    // The log wrote the intents, but its answer was lost, so that the caller's job waits. The same
+    // record is sent again. The job may start when the append is answered or the record is read
+    // back; the copies count once.
     for (const bool readBack : {true, false}) {
         CAPTURE(readBack);
         Journal journal;
         addIntent(journal.state, intentOf("a", 0), at(0));
         const auto first = journal.tick(0);
-        journalAppendDone(journal.state, first->batch, AppendStatus::Unknown, at(100));
+        handleJournalAppendResult(journal.state, first->batch, AppendStatus::Unknown, at(100));
         CHECK(intentState(journal.state, "a") == IntentState::Waiting);
         CHECK_FALSE(journal.tick(150).has_value());
         const auto second = journal.tick(400);
         CHECK(second->records[0].id == first->records[0].id);
         if (readBack) {
-            journalRead(journal.state, readOf({first->records[0], second->records[0]}), at(410));
+            handleJournalRead(journal.state, readOf({first->records[0], second->records[0]}),
+                              at(410));
         } else {
-            journalAppendDone(journal.state, second->batch, AppendStatus::Durable, at(410));
+            handleJournalAppendResult(journal.state, second->batch, AppendStatus::Durable, at(410));
         }
         CHECK(takeNewlyDurable(journal.state) == std::vector<std::string>{"a"});
-        journalAppendDone(journal.state, second->batch, AppendStatus::Durable, at(420));
+        handleJournalAppendResult(journal.state, second->batch, AppendStatus::Durable, at(420));
         CHECK(takeNewlyDurable(journal.state).empty());
     }
 }
@@ -111,16 +113,17 @@
 TEST_CASE(
         "In a long outage jobs start once a majority knows, and are written later, in order, once")
 {
-    // The log is away. After the stated time without a durable append the owner declares itself
-    // unlogged, from the oldest submission it holds; only an acknowledged declaration lets jobs
-    // start. When the log is back all held intents are written in order before it is withdrawn.
+    // The log is unavailable. After the configured time without a durable append the owner declares
+    // itself unlogged as of the oldest submission that it holds; jobs start only after the
+    // declaration is acknowledged. When the log is available again, all held intents are written in
+    // order before the declaration is withdrawn.
     Journal journal;
     addIntent(journal.state, intentOf("a", -5000), at(0));
     const auto first = journal.tick(0);
-    journalAppendDone(journal.state, first->batch, AppendStatus::Unavailable, at(100));
+    handleJournalAppendResult(journal.state, first->batch, AppendStatus::Unavailable, at(100));
     addIntent(journal.state, intentOf("b", 1000), at(1000));
     const auto second = journal.tick(1990);
-    journalAppendDone(journal.state, second->batch, AppendStatus::Unavailable, at(2090));
+    handleJournalAppendResult(journal.state, second->batch, AppendStatus::Unavailable, at(2090));
     CHECK(journal.state.unloggedSinceMs == 0);
     const auto retried = journal.tick(2500);
     CHECK(journal.state.unloggedSinceMs == WallMs - 5000);
@@ -129,12 +132,12 @@
     CHECK(intentState(journal.state, "a") == IntentState::Unlogged);
     addIntent(journal.state, intentOf("older", -6000), at(2500));
     CHECK(intentState(journal.state, "older") == IntentState::Waiting);
-    journalAppendDone(journal.state, retried->batch, AppendStatus::Durable, at(3000));
+    handleJournalAppendResult(journal.state, retried->batch, AppendStatus::Durable, at(3000));
     CHECK(intentState(journal.state, "b") == IntentState::Waiting);
     CHECK(journal.state.unloggedSinceMs != 0);
     const auto rest = journal.tick(3010);
     CHECK(jobsIn(*rest) == std::vector<std::string>{"b", "older"});
-    journalAppendDone(journal.state, rest->batch, AppendStatus::Durable, at(3020));
+    handleJournalAppendResult(journal.state, rest->batch, AppendStatus::Durable, at(3020));
     CHECK(journal.state.unloggedSinceMs == 0);
 }
 
@@ -146,7 +149,7 @@
     record.kind = Schema::RecordKind::Intents;
     record.intents.emplace();
     record.intents->push_back(intentOf("a", 0));
-    journalRead(journal.state, readOf({record, record}), at(10));
+    handleJournalRead(journal.state, readOf({record, record}), at(10));
     const auto found = findIntent(journal.state, "a");
     REQUIRE(found.has_value());
     CHECK(found->tasks == 3);
--- a/Source/UnitTests/Dispatch/Query/QueryLanguageTest.cpp
+++ b/Source/UnitTests/Dispatch/Query/QueryLanguageTest.cpp
@@ -12,7 +12,7 @@
     return rows;
 }
 
-std::string shown(const Dispatch::QueryRows &rows)
+std::string toText(const Dispatch::QueryRows &rows)
 {
     std::string text;
     for (const Dispatch::QueryRow &row : rows.rows) {
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("Questions filter, count, order and limit")
+TEST_CASE("Queries filter, count, order and limit")
 {
     struct Row
     {
@@ -54,11 +54,11 @@
         CHECK(Dispatch::unknownField(query, answer.columns).empty());
         Dispatch::filterRows(query, answer);
         Dispatch::shapeRows(query, answer);
-        CHECK(shown(answer) == row.answer);
+        CHECK(toText(answer) == row.answer);
     }
 }
 
-TEST_CASE("A wrong question is answered with the column and what was expected")
+TEST_CASE("An invalid query is answered with the column and what was expected")
 {
     struct Row
     {
@@ -83,9 +83,9 @@
     for (const Row &row : rows) {
         CAPTURE(row.text);
         const auto parsed = Dispatch::parseQuery(row.text);
-        REQUIRE(std::holds_alternative<Dispatch::QueryFault>(parsed));
-        CHECK(std::get<Dispatch::QueryFault>(parsed).column == row.column);
-        CHECK(std::get<Dispatch::QueryFault>(parsed).expected.find(row.expected) == 0);
+        REQUIRE(std::holds_alternative<Dispatch::QueryError>(parsed));
+        CHECK(std::get<Dispatch::QueryError>(parsed).column == row.column);
+        CHECK(std::get<Dispatch::QueryError>(parsed).expected.find(row.expected) == 0);
     }
     const auto parsed = Dispatch::parseQuery("jobs where colour = red");
     CHECK(Dispatch::unknownField(std::get<Dispatch::Query>(parsed), {"id"}) == "colour");
