--- a/Source/UnitTests/Dispatch/Scheduling/SchedulerTest.cpp
+++ b/Source/UnitTests/Dispatch/Scheduling/SchedulerTest.cpp
@@ -60,22 +60,23 @@
 SchedulerState configuredState()
 {
     SchedulerState state;
-    Dispatch::schedulerConfigured(state, configuration(), at(0));
+    Dispatch::configureScheduler(state, configuration(), at(0));
     return state;
 }
 
-/// Admits and releases the job; returns what was assigned at once.
+/// Admits the job and makes it runnable. Returns the tasks that are assigned at once.
 std::vector<Assignment> submit(SchedulerState &state, const JobDemand &demand, std::int64_t nowMs,
                                Common::Random &random)
 {
     const auto refused = Dispatch::admitJob(state, demand, at(nowMs));
     REQUIRE(!refused);
-    Dispatch::jobRunnable(state, demand.id, at(nowMs));
+    Dispatch::setJobRunnable(state, demand.id, at(nowMs));
     return Dispatch::assignTasks(state, at(nowMs), random);
 }
 
-/// Outcomes that teach the scheduler a run time for crew-dispatch.
-void teach(SchedulerState &state, double runMs, Common::Random &random)
+/// Runs 40 jobs of one task each, from which the scheduler learns \a runMs as the run time of
+/// crew-dispatch.
+void recordRunTimes(SchedulerState &state, double runMs, Common::Random &random)
 {
     constexpr int Outcomes = 40;
     for (int index = 0; index < Outcomes; ++index) {
@@ -135,17 +136,17 @@
         SchedulerState state = configuredState();
         Schema::Configuration drained = configuration();
         drained.drains = {Schema::Drain{"drained"}};
-        Dispatch::schedulerConfigured(state, drained, at(0));
+        Dispatch::configureScheduler(state, drained, at(0));
         Schema::AgentHello announced = hello("agent-1");
         JobDemand job = demand("job", 20);
         row.change(announced, job);
-        Dispatch::agentHeard(state, announced, at(0));
+        Dispatch::agentHelloReceived(state, announced, at(0));
         CHECK(submit(state, job, row.nowMs, random).size() == row.assigned);
         CHECK(Dispatch::totalDemand(state) == 20 - static_cast<std::int64_t>(row.assigned));
     }
 }
 
-TEST_CASE("A job is refused whole, with its reason and a time to come again")
+TEST_CASE("A job is refused as a whole, with its reason and a retry delay")
 {
     struct Row
     {
@@ -170,7 +171,7 @@
              [](SchedulerState &state, JobDemand &demand) {
                  Schema::Configuration quota = configuration();
                  quota.teams.front().quota = 1;
-                 Dispatch::schedulerConfigured(state, quota, at(100));
+                 Dispatch::configureScheduler(state, quota, at(100));
                  demand.deadlineMs = WallMs + 10000;
              }},
     };
@@ -178,8 +179,8 @@
         CAPTURE(Schema::enumName(row.reason));
         Common::Random random(1);
         SchedulerState state = configuredState();
-        Dispatch::agentHeard(state, hello("agent-1"), at(0));
-        teach(state, 300, random);
+        Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
+        recordRunTimes(state, 300, random);
         submit(state, demand("before", 40), 0, random);
         JobDemand job = demand("job", 40);
         row.change(state, job);
@@ -189,19 +190,19 @@
         CHECK((refused->retryAfterMs > 0) == row.retries);
         CHECK(!refused->detail.empty());
         const std::int64_t waiting = Dispatch::totalDemand(state);
-        Dispatch::jobRunnable(state, "job", at(100));
+        Dispatch::setJobRunnable(state, "job", at(100));
         CHECK(Dispatch::totalDemand(state) == waiting);
     }
 }
 
-TEST_CASE("The time to come again grows with the backlog")
+TEST_CASE("The retry delay grows with the backlog")
 {
     std::int64_t before = 0;
     for (const int queued : {100, 200, 360}) {
         Common::Random random(1);
         SchedulerState state = configuredState();
-        Dispatch::agentHeard(state, hello("agent-1"), at(0));
-        teach(state, 300, random);
+        Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
+        recordRunTimes(state, 300, random);
         submit(state, demand("before", queued), 0, random);
         JobDemand job = demand("job");
         job.deadlineMs = WallMs + 1000;
@@ -218,9 +219,9 @@
     SchedulerState state = configuredState();
     Schema::Configuration quota = configuration();
     quota.teams.front().quota = 6;
-    Dispatch::schedulerConfigured(state, quota, at(0));
-    Dispatch::gatewaysCounted(state, 3);
-    Dispatch::agentHeard(state, hello("agent-1"), at(0));
+    Dispatch::configureScheduler(state, quota, at(0));
+    Dispatch::setGatewayCount(state, 3);
+    Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
     const auto started = submit(state, demand("job", 5), 0, random);
     CHECK(started.size() == 2);
     Dispatch::taskEnded(state, started[0].task, started[0].agent, true, 100, at(100));
@@ -229,11 +230,11 @@
 
 TEST_CASE("A refused start waits out its back-off and is given up after its attempts")
 {
-    // The backend server of the only agent is down: each start is refused, nothing ever runs. The
-    // task is offered again, later each time, and not for ever.
+    // The backend server of the only agent is down: each start is refused and no task runs. The
+    // task is retried with a growing delay, and only for a limited number of attempts.
     Common::Random random(1);
     SchedulerState state = configuredState();
-    Dispatch::agentHeard(state, hello("agent-1"), at(0));
+    Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
     std::vector<Assignment> started = submit(state, demand("job"), 0, random);
     int attempts = 0;
     std::int64_t nowMs = 0;
@@ -246,10 +247,10 @@
             CHECK(Dispatch::assignTasks(state, at(nowMs), random).empty());
         }
         nowMs += 5;
-        Dispatch::agentHeard(state, hello("agent-1"), at(nowMs));
+        Dispatch::agentHelloReceived(state, hello("agent-1"), at(nowMs));
         started = Dispatch::assignTasks(state, at(nowMs), random);
     }
-    CHECK(decision == RetryDecision::GivenUp);
+    CHECK(decision == RetryDecision::AttemptsExhausted);
     CHECK(attempts == Dispatch::MaxStartAttempts);
     CHECK(nowMs > 1000);
     CHECK(Dispatch::totalDemand(state) == 0);
@@ -257,10 +258,11 @@
           == RetryDecision::Ignored);
 }
 
-TEST_CASE("Refused starts pause their agent only where they tell of it, and once for all together")
+TEST_CASE("Refused starts pause their agent only if it cannot run tasks, and once per batch")
 {
-    // An agent gives back its eight tasks in one message. After a cancel wave or a takeover it is
-    // as able as before and must get work at once; with its backend server down it must not.
+    // An agent returns its eight tasks in one message. If they were cancelled or the shard changed
+    // its owner, the agent can still run tasks and must get new ones at once. If its backend server
+    // is down, it must get none until the pause ends.
     struct Row
     {
         Reason reason;
@@ -276,7 +278,7 @@
         CAPTURE(Schema::enumName(row.reason));
         Common::Random random(1);
         SchedulerState state = configuredState();
-        Dispatch::agentHeard(state, hello("agent-1"), at(0));
+        Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
         const auto started = submit(state, demand("first", 8), 0, random);
         REQUIRE(started.size() == 8);
         Dispatch::dropJob(state, "first");
@@ -289,15 +291,16 @@
     }
 }
 
-TEST_CASE("A job nothing of which has started ends when its deadline cannot be met")
+TEST_CASE("A job without a started task ends when its deadline cannot be met")
 {
-    // No backend server is free until the deadline. The caller is told that nothing ran, as soon as
-    // too little time is left and not after it.
+    // No backend server is free until the deadline. The job is refused as soon as the remaining
+    // time is too short, not only after the deadline, so that the caller learns early that nothing
+    // ran.
     Common::Random random(1);
     SchedulerState state = configuredState();
-    Dispatch::agentHeard(state, hello("agent-1", 1), at(0));
-    teach(state, 400, random);
-    Dispatch::agentHeard(state, hello("agent-1", 1), at(0));
+    Dispatch::agentHelloReceived(state, hello("agent-1", 1), at(0));
+    recordRunTimes(state, 400, random);
+    Dispatch::agentHelloReceived(state, hello("agent-1", 1), at(0));
     const auto first = submit(state, demand("first"), 0, random);
     REQUIRE(first.size() == 1);
     JobDemand late = demand("late");
@@ -316,12 +319,12 @@
 {
     Common::Random random(1);
     SchedulerState state = configuredState();
-    Dispatch::agentHeard(state, hello("agent-1"), at(0));
+    Dispatch::agentHelloReceived(state, hello("agent-1"), at(0));
     Dispatch::restoreJob(state, demand("job", 10), {4, 5, 6, 7, 8, 9}, at(0));
     for (const int index : {0, 1, 2, 3}) {
         Dispatch::taskAdopted(state, {"job", index}, "agent-1", at(0));
     }
-    Dispatch::jobRunnable(state, "job", at(0));
+    Dispatch::setJobRunnable(state, "job", at(0));
     const auto started = Dispatch::assignTasks(state, at(0), random);
     REQUIRE(started.size() == 4);
     CHECK(started[0].task.index == 4);
@@ -330,13 +333,13 @@
     CHECK(Dispatch::assignTasks(state, at(50), random).size() == 1);
 }
 
-TEST_CASE("Random lives of jobs and agents keep every promise of the scheduler")
+TEST_CASE("Random sequences of job and agent events violate no invariant of the scheduler")
 {
     constexpr int Steps = 30000;
     Common::Random random(11);
     SchedulerState state = configuredState();
     std::map<std::string, std::int64_t> windows;
-    std::map<std::string, std::int64_t> held;
+    std::map<std::string, std::int64_t> inFlightByAgent;
     std::vector<Assignment> inFlight;
     std::set<std::pair<std::string, int>> started;
     std::vector<std::string> jobs;
@@ -344,7 +347,7 @@
     const auto end = [&](std::size_t index) {
         Assignment ended = inFlight[index];
         inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(index));
-        held[ended.agent] -= 1;
+        inFlightByAgent[ended.agent] -= 1;
         return ended;
     };
     for (int step = 0; step < Steps; ++step) {
@@ -358,14 +361,14 @@
             job.caller = "caller-" + std::to_string(random() % 5);
             job.deadlineMs = WallMs + nowMs + static_cast<std::int64_t>(random() % 8000);
             if (!Dispatch::admitJob(state, job, at(nowMs))) {
-                Dispatch::jobRunnable(state, job.id, at(nowMs));
+                Dispatch::setJobRunnable(state, job.id, at(nowMs));
                 jobs.push_back(job.id);
             }
             break;
         }
         case 2:
             windows[agent] = static_cast<std::int64_t>(random() % 9);
-            Dispatch::agentHeard(state, hello(agent, windows[agent]), at(nowMs));
+            Dispatch::agentHelloReceived(state, hello(agent, windows[agent]), at(nowMs));
             break;
         case 3:
             if (random() % 10 == 0) {
@@ -398,8 +401,8 @@
         Dispatch::expiredJobs(state, at(nowMs));
         for (const Assignment &assignment : Dispatch::assignTasks(state, at(nowMs), random)) {
             REQUIRE(started.insert({assignment.task.job, assignment.task.index}).second);
-            held[assignment.agent] += 1;
-            REQUIRE(held[assignment.agent] <= windows[assignment.agent]);
+            inFlightByAgent[assignment.agent] += 1;
+            REQUIRE(inFlightByAgent[assignment.agent] <= windows[assignment.agent]);
             inFlight.push_back(assignment);
         }
         REQUIRE(Dispatch::totalDemand(state) >= 0);
--- a/Source/UnitTests/Gateway/LinksTest.cpp
+++ b/Source/UnitTests/Gateway/LinksTest.cpp
@@ -4,35 +4,36 @@
 
 TEST_CASE("A request that overtakes the first heartbeat on a new link is not lost")
 {
-    // A caller's job stood still for over four seconds just after a gateway had joined. The gateway
-    // forwarded it on a link that it had only just dialled; the owner did not yet know whose link
-    // that was and dropped the frame, and nothing was tried again until another link went silent.
+    // Guards against a delay of over four seconds for a job just after a gateway has joined. The
+    // gateway forwarded the job on a link that it had just dialled. The owner did not know yet
+    // whose link that was and dropped the frame, and no retry took place until another link was
+    // silent.
     Gateway::LinkTable table;
     table.self = "gateway-2";
     const Net::LinkId id = 7;
-    Gateway::linkOpened(table, id, {});
+    Gateway::markLinkOpen(table, id, {});
     Schema::Frame forward;
     forward.type = Schema::FrameType::Forward;
     CHECK(Gateway::senderOf(forward).kind == Gateway::PeerKind::Unidentified);
-    Gateway::holdEarly(table.links.at(id), forward);
+    Gateway::holdEarlyFrame(table.links.at(id), forward);
 
     Schema::Frame ping;
     ping.type = Schema::FrameType::PeerPing;
     ping.peerPing.emplace().instance = "gateway-1";
-    Gateway::linkIdentified(table, id, Gateway::PeerKind::Gateway, "gateway-1", {});
-    const auto frames = Gateway::releaseEarly(table.links.at(id), ping);
+    Gateway::identifyLink(table, id, Gateway::PeerKind::Gateway, "gateway-1", {});
+    const auto frames = Gateway::releaseEarlyFrames(table.links.at(id), ping);
     REQUIRE(frames.size() == 2);
     CHECK(frames.at(0).type == Schema::FrameType::PeerPing);
     CHECK(frames.at(1).type == Schema::FrameType::Forward);
-    CHECK(Gateway::releaseEarly(table.links.at(id), ping).size() == 1);
+    CHECK(Gateway::releaseEarlyFrames(table.links.at(id), ping).size() == 1);
 }
 
-TEST_CASE("A sender that never names itself fills no memory")
+TEST_CASE("Frames of a sender that never identifies itself use limited memory")
 {
     Gateway::Link link;
-    constexpr int Flood = 100000;
-    for (int count = 0; count < Flood; ++count) {
-        Gateway::holdEarly(link, {});
+    constexpr int FrameCount = 100000;
+    for (int count = 0; count < FrameCount; ++count) {
+        Gateway::holdEarlyFrame(link, {});
     }
-    CHECK(link.early.size() < 2000);
+    CHECK(link.earlyFrames.size() < 2000);
 }
--- a/Source/UnitTests/Platform/BackendCallsTest.cpp
+++ b/Source/UnitTests/Platform/BackendCallsTest.cpp
@@ -34,7 +34,7 @@
     return request;
 }
 
-bool isTaken(const Net::HttpRequest &request)
+bool isAccepted(const Net::HttpRequest &request)
 {
     return Common::handle(
             [&]() -> Common::Outcome<bool> {
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("A start on the wire names the task with its occurrence, and the life that is meant")
+TEST_CASE("A start on the wire contains the occurrence of the task and the expected incarnation")
 {
     const Net::HttpCall call = Platform::startCall({"10.0.0.1:80", "i-1"},
                                                    {"5c0e7a21d94b36f8.1.17", 2, "work", 900, 7});
@@ -77,7 +77,7 @@
             {answered(409, "?"), StartOutcome::Refused},
             {answered(400, R"({"reason":"late"})"), StartOutcome::LeaseTooShort},
             {answered(400, "{}"), StartOutcome::Malformed},
-            {answered(421, "{}"), StartOutcome::OtherLife},
+            {answered(421, "{}"), StartOutcome::OtherIncarnation},
             {answered(429, "{}"), StartOutcome::Refused},
             {answered(503, ""), StartOutcome::Refused},
             {answered(500, ""), StartOutcome::Unanswered},
@@ -97,7 +97,7 @@
     const auto answer = Platform::decodeObservation(answered(
             200, R"({"clockMs":482113,"born":17,"active":[["5c0e.0.1.17",2,"",41,500]],)"
                  R"("ended":[[58,"5c0e.0.1.9",1,"done",""],[59,"5c0e.0.1.8",1,"lapsed",""]]})"));
-    REQUIRE(answer.outcome == ObserveOutcome::Seen);
+    REQUIRE(answer.outcome == ObserveOutcome::Observed);
     CHECK(answer.seen.clockMs == 482113);
     CHECK(answer.seen.startedAtMs == 17);
     REQUIRE(answer.seen.active.size() == 1);
@@ -109,7 +109,7 @@
     CHECK(answer.seen.ended[1].end == Transient::RunEnd::LeaseLapsed);
 }
 
-TEST_CASE("Observations that tell nothing")
+TEST_CASE("Observations that failed or are invalid")
 {
     struct Row
     {
@@ -120,7 +120,7 @@
             {answered(200, "nonsense"), ObserveOutcome::Refused},
             {answered(200, R"({"clockMs":1,"active":[[1]],"ended":[]})"), ObserveOutcome::Refused},
             {answered(409, R"({"reason":"fence"})"), ObserveOutcome::Fenced},
-            {answered(421, ""), ObserveOutcome::OtherLife},
+            {answered(421, ""), ObserveOutcome::OtherIncarnation},
             {answered(503, ""), ObserveOutcome::Refused},
             {ended(Net::HttpTransport::NotConnected), ObserveOutcome::NotConnected},
             {ended(Net::HttpTransport::TimedOut), ObserveOutcome::Unanswered},
@@ -132,10 +132,10 @@
 
 TEST_CASE("Announcements with members missing or of another type are refused")
 {
-    const std::string whole =
+    const std::string valid =
             R"({"service":"s","address":"10.0.0.9:80","state":"ready","sequence":4,)"
             R"("capacity":{"cpu":16000,"memMb":32768,"gpu":0},"labels":["a",7,"r1-3"],"born":9})";
-    CHECK(isTaken(announcement(whole)));
+    CHECK(isAccepted(announcement(valid)));
     const char *const wrong[] = {
             "",
             "[]",
@@ -148,14 +148,14 @@
     };
     for (const char *body : wrong) {
         CAPTURE(body);
-        CHECK_FALSE(isTaken(announcement(body)));
+        CHECK_FALSE(isAccepted(announcement(body)));
     }
-    Net::HttpRequest elsewhere = announcement(whole);
+    Net::HttpRequest elsewhere = announcement(valid);
     elsewhere.path = "/instances/";
-    CHECK_FALSE(isTaken(elsewhere));
+    CHECK_FALSE(isAccepted(elsewhere));
     elsewhere.path = "/instances/i-1";
     elsewhere.method = "POST";
-    CHECK_FALSE(isTaken(elsewhere));
+    CHECK_FALSE(isAccepted(elsewhere));
     elsewhere.method = "DELETE";
-    CHECK(isTaken(elsewhere));
+    CHECK(isAccepted(elsewhere));
 }
--- a/Source/UnitTests/Transient/PaceTest.cpp
+++ b/Source/UnitTests/Transient/PaceTest.cpp
@@ -7,7 +7,7 @@
 #include "Runner/Pace.h"
 #include "Runner/Runner.h"
 #include "Runner/RunQueue.h"
-#include "Runner/StartLimit.h"
+#include "Runner/StartTimeout.h"
 
 using namespace Runner;
 
@@ -32,7 +32,7 @@
     return state;
 }
 
-/// One that began at 1000 and has come so far at 1100.
+/// A run that started at 1,000 ms and had done \a percent at 1,100 ms.
 Run running(std::int64_t expectedMs, int percent)
 {
     Run run;
@@ -83,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("A forecast plays the queue forward in its own order")
+TEST_CASE("A forecast simulates the queue in its order")
 {
     struct Row
     {
@@ -94,7 +94,7 @@
         double urgentWaitMs;
         double waitMs;
     };
-    // Two run, with 100 and 300 ms left; what waits takes 100 ms each.
+    // Two tasks run, with 100 and 300 ms left; each waiting task takes 100 ms.
     const Row rows[] = {
             {"there is room", 3, 0, 0, 0, 0},
             {"full: the first end", 2, 0, 0, 100, 100},
@@ -118,7 +118,7 @@
     }
 }
 
-TEST_CASE("What its runs show tells that a backend server is slow")
+TEST_CASE("A slow backend server is detected by the progress of its runs")
 {
     struct Row
     {
@@ -139,14 +139,14 @@
         for (int run = 0; run < row.runs; ++run) {
             add(state, running(200, row.percent));
         }
-        paceSeen(state, at(1100));
+        updateSlowdown(state, at(1100));
         CHECK((slowdownOf(state, at(1100)) > 1) == row.isSlow);
-        // It is tried again once nothing tells of it any more.
+        // Without new progress the slowdown decays, and the backend server is used again.
         CHECK(slowdownOf(state, at(12'000)) == 1);
     }
 }
 
-TEST_CASE("What stands still and would be late goes elsewhere while that helps")
+TEST_CASE("Stalled runs that would be late are moved while that helps")
 {
     struct Row
     {
@@ -168,18 +168,18 @@
         CAPTURE(row.what);
         RunnerState state = makeState(8);
         state.decisions.movesFromSlow = row.movesFromSlow;
-        Run still = running(200, row.percent);
-        still.attempt = row.attempt;
-        still.targetMs = row.targetMs;
-        constexpr int Still = 3;
-        for (int run = 0; run < Still; ++run) {
-            add(state, still);
+        Run stalled = running(200, row.percent);
+        stalled.attempt = row.attempt;
+        stalled.targetMs = row.targetMs;
+        constexpr int StalledRuns = 3;
+        for (int run = 0; run < StalledRuns; ++run) {
+            add(state, stalled);
         }
         addWaiting(state, Other, 200);
-        paceSeen(state, at(1100));
+        updateSlowdown(state, at(1100));
         const Effects effects = moveFromSlow(state, at(1100));
-        CHECK(countPhase(state, RunPhase::Stopping) == (row.isStopped ? Still : 0));
-        // What waits there has done nothing yet and is given back.
+        CHECK(countPhase(state, RunPhase::Stopping) == (row.isStopped ? StalledRuns : 0));
+        // A waiting task has not started and is returned to its gateway.
         CHECK(countPhase(state, RunPhase::Queued)
               == (row.movesFromSlow && row.percent == 0 ? 0 : 1));
         for (const Effect &effect : effects) {
@@ -191,24 +191,24 @@
     }
 }
 
-TEST_CASE("A start is given up by what its answers usually take")
+TEST_CASE("The timeout of a start follows from how long answers usually take")
 {
-    StartLimit limit;
-    CHECK(startLimitMs(limit) == 150);
+    StartTimeout timeout;
+    CHECK(startTimeoutMs(timeout) == 150);
     for (int answer = 0; answer < 50; ++answer) {
-        startAnswerSeen(limit, 3);
+        recordStartAnswer(timeout, 3);
     }
-    CHECK(startLimitMs(limit) == 30);
-    // The agent's instance has turned slow: it must not go on giving up all that it starts.
+    CHECK(startTimeoutMs(timeout) == 30);
+    // The backend server has become slow: its starts must not keep timing out.
     for (int start = 0; start < 6; ++start) {
-        startUnanswered(limit);
+        recordStartUnanswered(timeout);
     }
-    CHECK(startLimitMs(limit) == 150);
+    CHECK(startTimeoutMs(timeout) == 150);
     for (int answer = 0; answer < 50; ++answer) {
-        startAnswerSeen(limit, answer % 2 == 0 ? 10 : 30);
+        recordStartAnswer(timeout, answer % 2 == 0 ? 10 : 30);
     }
-    CHECK(startLimitMs(limit) > 60);
-    CHECK(startLimitMs(limit) < 120);
+    CHECK(startTimeoutMs(timeout) > 60);
+    CHECK(startTimeoutMs(timeout) < 120);
 }
 
 TEST_CASE("Settings switch decisions of an agent off")
@@ -217,7 +217,7 @@
     switchOff(state, {Schema::AgentDecision::Moves, Schema::AgentDecision::StartLimits,
                       Schema::AgentDecision::UrgencyOrder});
     CHECK_FALSE(state.decisions.movesFromSlow);
-    CHECK_FALSE(state.decisions.learnsStartLimit);
+    CHECK_FALSE(state.decisions.learnsStartTimeout);
     CHECK_FALSE(state.decisions.ordersByUrgency);
     addWaiting(state, Other, 100);
     addWaiting(state, Urgent, 100);
--- a/Source/UnitTests/Whole/World.cpp
+++ b/Source/UnitTests/Whole/World.cpp
@@ -30,7 +30,8 @@
     return 1 + static_cast<std::int64_t>(world.random() % 4);
 }
 
-/// Runs \a action in the process, now or once it wakes; never when it has died.
+/// Runs \a action in the process now, or on resume if it is paused. Drops it if the process is not
+/// alive.
 void deliver(Process &process, Action action)
 {
     if (!process.isAlive) {
@@ -53,7 +54,7 @@
     return -1;
 }
 
-bool isCut(const World &world, int one, int other)
+bool isPartitioned(const World &world, int one, int other)
 {
     return world.partitions.count(std::minmax(one, other)) != 0;
 }
@@ -91,33 +92,33 @@
             const auto known = process.linkOfAgent.find(instance);
             if (known != process.linkOfAgent.end() && known->second == index) {
                 process.linkOfAgent.erase(known);
-                Dispatch::agentLinkLost(process.state, instance, moment(world));
+                Dispatch::handleAgentDisconnected(process.state, instance, moment(world));
             }
         });
     });
 }
 
-void gatewayHears(World &world, int gateway, int linkIndex, const Schema::Frame &frame)
+void handleFrameAtGateway(World &world, int gateway, int linkIndex, const Schema::Frame &frame)
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     Link &link = world.links[static_cast<std::size_t>(linkIndex)];
     if (!link.isOpen) {
         return;
     }
-    link.gatewayHeardMs = world.nowMs;
+    link.gatewayLastReceivedMs = world.nowMs;
     const std::string &instance =
             world.agents[static_cast<std::size_t>(link.agent)]->state.instance;
     const auto known = process.linkOfAgent.find(instance);
     if (frame.type == Schema::FrameType::AgentHello
         && (known == process.linkOfAgent.end() || known->second != linkIndex)) {
         if (known != process.linkOfAgent.end()) {
-            Dispatch::agentLinkLost(process.state, instance, moment(world));
+            Dispatch::handleAgentDisconnected(process.state, instance, moment(world));
         }
         process.linkOfAgent[instance] = linkIndex;
     }
     carryOut(world, gateway,
-             Dispatch::agentFrameHeard(process.state, instance, frame, moment(world),
-                                       process.random));
+             Dispatch::handleAgentFrame(process.state, instance, frame, moment(world),
+                                        process.random));
 }
 
 void sendToGateway(World &world, int linkIndex, const Schema::Frame &frame)
@@ -134,7 +135,7 @@
             const int gateway = now.gateway;
             deliver(*world.gateways[static_cast<std::size_t>(gateway)],
                     [&world, gateway, linkIndex, frame] {
-                        gatewayHears(world, gateway, linkIndex, frame);
+                        handleFrameAtGateway(world, gateway, linkIndex, frame);
                     });
         }
     });
@@ -150,7 +151,8 @@
             std::max(link.gatewayToAgentFreeMs, world.nowMs + networkDelay(world));
     after(world, link.gatewayToAgentFreeMs - world.nowMs, [&world, linkIndex, frame] {
         const Link &now = world.links[static_cast<std::size_t>(linkIndex)];
-        // Bytes that were under way when the other end died still arrive.
+        // Whether the link is closed is decided below: closeLink() removes it from the agent at
+        // once.
         if (now.isSilent) {
             return;
         }
@@ -169,31 +171,31 @@
 void sendBetweenGateways(World &world, int from, const std::string &to, const Schema::Frame &frame)
 {
     const int target = gatewayIndex(world, to);
-    if (target < 0 || isCut(world, from, target)) {
+    if (target < 0 || isPartitioned(world, from, target)) {
         return;
     }
     after(world, networkDelay(world), [&world, from, target, frame] {
-        if (isCut(world, from, target)) {
+        if (isPartitioned(world, from, target)) {
             return;
         }
         GatewayProcess &process = *world.gateways[static_cast<std::size_t>(target)];
         const std::string sender =
                 world.gateways[static_cast<std::size_t>(from)]->state.self.instance;
         deliver(process, [&world, &process, target, sender, frame] {
-            process.peerHeardMs[sender] = world.nowMs;
+            process.peerLastReceivedMs[sender] = world.nowMs;
             carryOut(world, target,
-                     Dispatch::gatewayFrameHeard(process.state, sender, frame, moment(world)));
+                     Dispatch::handleGatewayFrame(process.state, sender, frame, moment(world)));
         });
     });
 }
 
-void appendEnds(World &world, int gateway, LogStream stream, std::uint64_t batch,
-                Dispatch::AppendStatus status)
+void handleAppendEnd(World &world, int gateway, LogStream stream, std::uint64_t batch,
+                     Dispatch::AppendStatus status)
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     deliver(process, [&world, &process, gateway, stream, batch, status] {
         carryOut(world, gateway,
-                 Dispatch::appendEnded(process.state, stream, batch, status, moment(world)));
+                 Dispatch::handleAppendResult(process.state, stream, batch, status, moment(world)));
     });
 }
 
@@ -201,9 +203,9 @@
 {
     const LogStream stream = append.stream;
     const std::uint64_t batch = append.batch;
-    if (world.log.isOut || world.cutFromLog.count(gateway) != 0) {
+    if (world.log.isUnavailable || world.cutFromLog.count(gateway) != 0) {
         after(world, AppendMs, [&world, gateway, stream, batch] {
-            appendEnds(world, gateway, stream, batch, Dispatch::AppendStatus::Unavailable);
+            handleAppendEnd(world, gateway, stream, batch, Dispatch::AppendStatus::Unavailable);
         });
         return;
     }
@@ -220,7 +222,7 @@
         const auto status =
                 isLost ? Dispatch::AppendStatus::Unknown : Dispatch::AppendStatus::Durable;
         after(world, isLost ? AppendTimeoutMs : 1, [&world, gateway, append, status] {
-            appendEnds(world, gateway, append.stream, append.batch, status);
+            handleAppendEnd(world, gateway, append.stream, append.batch, status);
         });
     });
 }
@@ -231,7 +233,7 @@
     if (!process.isAlive) {
         return;
     }
-    if (!world.log.isOut && world.cutFromLog.count(gateway) == 0 && !process.isPaused) {
+    if (!world.log.isUnavailable && world.cutFromLog.count(gateway) == 0 && !process.isPaused) {
         const auto &entries = world.log.streams[stream];
         std::int64_t &offset = process.readOffsets[stream];
         Dispatch::LogRead read;
@@ -239,27 +241,29 @@
         offset = static_cast<std::int64_t>(entries.size());
         read.nextOffset = offset;
         read.atEnd = true;
-        carryOut(world, gateway, Dispatch::logHeard(process.state, stream, read, moment(world)));
+        carryOut(world, gateway,
+                 Dispatch::handleLogRead(process.state, stream, read, moment(world)));
     }
     after(world, PollMs, [&world, gateway, stream] { pollLog(world, gateway, stream); });
 }
 
-void gatewayTicks(World &world, int gateway)
+void tickGateway(World &world, int gateway)
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     if (!process.isAlive) {
         return;
     }
     if (!process.isPaused) {
-        carryOut(world, gateway, Dispatch::settle(process.state, moment(world), process.random));
-        configInForce(world.oracle, process.state.self.instance,
-                      Dispatch::configuration(process.state.site.config).version);
+        carryOut(world, gateway,
+                 Dispatch::gatewayTick(process.state, moment(world), process.random));
+        recordConfigVersion(world.oracle, process.state.self.instance,
+                            Dispatch::configuration(process.state.site.config).version);
         process.isAlive = !(process.isStopping && Dispatch::isStopped(process.state));
     }
-    after(world, GatewayTickMs, [&world, gateway] { gatewayTicks(world, gateway); });
+    after(world, GatewayTickMs, [&world, gateway] { tickGateway(world, gateway); });
 }
 
-void gatewayHousekeeps(World &world, int gateway)
+void runGatewayHousekeeping(World &world, int gateway)
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     if (!process.isAlive) {
@@ -270,22 +274,23 @@
             const Link &link = world.links[index];
             const bool isSilent =
                     link.isOpen && link.gateway == gateway
-                    && link.gatewayHeardMs + process.state.settings.agentSilenceMs < world.nowMs;
+                    && link.gatewayLastReceivedMs + process.state.settings.agentSilenceMs
+                               < world.nowMs;
             if (isSilent) {
                 closeLink(world, static_cast<int>(index));
             }
         }
-        for (auto &[peer, heardMs] : process.peerHeardMs) {
-            if (heardMs + process.state.settings.peerSilenceMs < world.nowMs) {
-                heardMs = world.nowMs;
-                Dispatch::gatewayLinkLost(process.state, peer);
+        for (auto &[peer, lastReceivedMs] : process.peerLastReceivedMs) {
+            if (lastReceivedMs + process.state.settings.peerSilenceMs < world.nowMs) {
+                lastReceivedMs = world.nowMs;
+                Dispatch::handleGatewayDisconnected(process.state, peer);
             }
         }
     }
-    after(world, HousekeepingMs, [&world, gateway] { gatewayHousekeeps(world, gateway); });
+    after(world, HousekeepingMs, [&world, gateway] { runGatewayHousekeeping(world, gateway); });
 }
 
-void agentTicks(World &world, int agent)
+void tickAgent(World &world, int agent)
 {
     AgentProcess &process = *world.agents[static_cast<std::size_t>(agent)];
     if (!process.isAlive) {
@@ -295,7 +300,7 @@
         carryOut(world, agent, Agent::tick(process.state, moment(world)));
         carryOut(world, agent, Agent::flush(process.state, moment(world)));
     }
-    after(world, AgentTickMs, [&world, agent] { agentTicks(world, agent); });
+    after(world, AgentTickMs, [&world, agent] { tickAgent(world, agent); });
 }
 
 void connect(World &world, int agent, const Agent::ConnectGateway &attempt)
@@ -310,7 +315,7 @@
             link.agent = agent;
             link.agentNumber = attempt.link;
             link.gateway = gateway;
-            link.gatewayHeardMs = world.nowMs;
+            link.gatewayLastReceivedMs = world.nowMs;
             world.links.push_back(link);
             process.links[attempt.link] = static_cast<int>(world.links.size()) - 1;
         }
@@ -337,23 +342,23 @@
     });
 }
 
-/// The backend server gets the request after a delay that stands for a pause of the agent between
+/// The backend server receives the request after a delay that models a pause of the agent between
 /// its check and the start.
 void runTask(World &world, int agent, const Schema::RunTask &task)
 {
-    const auto spread = static_cast<std::uint64_t>(world.maxRunDelayMs + 1);
+    const auto delayRange = static_cast<std::uint64_t>(world.maxRunDelayMs + 1);
     const bool isDelayed = world.random() % 8 == 0;
     const std::int64_t delayMs =
-            1 + (isDelayed ? static_cast<std::int64_t>(world.random() % spread) : 0);
+            1 + (isDelayed ? static_cast<std::int64_t>(world.random() % delayRange) : 0);
     after(world, delayMs, [&world, agent, task] {
-        constexpr int TooLate = 412;
+        constexpr int PreconditionFailed = 412;
         constexpr int ServerError = 500;
         constexpr int Ok = 200;
         if (wallMs(world) > task.notAfterMs) {
-            answerRun(world, agent, task, TooLate, "{}");
+            answerRun(world, agent, task, PreconditionFailed, "{}");
             return;
         }
-        taskStarted(world.oracle, task.job, task.index, world.nowMs);
+        recordStart(world.oracle, task.job, task.index, world.nowMs);
         const int backend = world.agents[static_cast<std::size_t>(agent)]->backend;
         const bool fails = world.backends[static_cast<std::size_t>(backend)].failsAll;
         const nlohmann::json body = {{"result", resultOf(task.job, task.index)}};
@@ -390,8 +395,8 @@
         if (answer.requestId.empty()) {
             return;
         }
-        submissionAnswered(this->world.oracle, std::stoul(answer.requestId), answer.answer,
-                           this->world.nowMs);
+        recordAnswer(this->world.oracle, std::stoul(answer.requestId), answer.answer,
+                     this->world.nowMs);
     }
     template <typename Other>
     void operator()(const Other & /*other*/) const
@@ -480,7 +485,7 @@
     publish(world, team);
 }
 
-void wake(World &world, Process &process)
+void resume(World &world, Process &process)
 {
     process.isPaused = false;
     while (!process.inbox.empty() && process.isAlive) {
@@ -500,15 +505,15 @@
 
 void after(World &world, std::int64_t ms, Action action)
 {
-    world.agenda.push({world.nowMs + ms, ++world.lastOrder, std::move(action)});
+    world.actionQueue.push({world.nowMs + ms, ++world.lastOrder, std::move(action)});
 }
 
 void runFor(World &world, std::int64_t ms)
 {
     const std::int64_t endMs = world.nowMs + ms;
-    while (!world.agenda.empty() && world.agenda.top().atMs <= endMs) {
-        const ScheduledAction next = world.agenda.top();
-        world.agenda.pop();
+    while (!world.actionQueue.empty() && world.actionQueue.top().atMs <= endMs) {
+        const ScheduledAction next = world.actionQueue.top();
+        world.actionQueue.pop();
         world.nowMs = next.atMs;
         next.action();
     }
@@ -546,8 +551,8 @@
     self.failureDomain = "domain-" + std::to_string(index % 4);
     process->state = Dispatch::makeGateway(settings, self, moment(world));
     world.gateways.push_back(std::move(process));
-    after(world, 1, [&world, index] { gatewayTicks(world, index); });
-    after(world, 1, [&world, index] { gatewayHousekeeps(world, index); });
+    after(world, 1, [&world, index] { tickGateway(world, index); });
+    after(world, 1, [&world, index] { runGatewayHousekeeping(world, index); });
     for (const LogStream stream : {LogStream::Control, LogStream::Journal, LogStream::Config}) {
         after(world, 1, [&world, index, stream] { pollLog(world, index, stream); });
     }
@@ -573,7 +578,7 @@
     world.agents.push_back(std::move(process));
     AgentProcess &made = *world.agents.back();
     carryOut(world, index, Agent::healthAnswered(made.state, true, moment(world)));
-    after(world, 1, [&world, index] { agentTicks(world, index); });
+    after(world, 1, [&world, index] { tickAgent(world, index); });
     return index;
 }
 
@@ -591,7 +596,9 @@
     for (std::size_t other = 0; other < world.gateways.size(); ++other) {
         after(world, networkDelay(world), [&world, other, instance] {
             GatewayProcess &peer = *world.gateways[other];
-            deliver(peer, [&peer, instance] { Dispatch::gatewayLinkLost(peer.state, instance); });
+            deliver(peer, [&peer, instance] {
+                Dispatch::handleGatewayDisconnected(peer.state, instance);
+            });
         });
     }
 }
@@ -612,14 +619,14 @@
 {
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     process.isPaused = true;
-    after(world, ms, [&world, &process] { wake(world, process); });
+    after(world, ms, [&world, &process] { resume(world, process); });
 }
 
 void pauseAgent(World &world, int agent, std::int64_t ms)
 {
     AgentProcess &process = *world.agents[static_cast<std::size_t>(agent)];
     process.isPaused = true;
-    after(world, ms, [&world, &process] { wake(world, process); });
+    after(world, ms, [&world, &process] { resume(world, process); });
 }
 
 void stopGateway(World &world, int gateway)
@@ -638,10 +645,10 @@
     }
 }
 
-void partition(World &world, int one, int other, bool isCutNow)
+void partition(World &world, int one, int other, bool isPartitionedNow)
 {
     const std::pair<int, int> pair = std::minmax(one, other);
-    if (isCutNow) {
+    if (isPartitionedNow) {
         world.partitions.insert(pair);
     } else {
         world.partitions.erase(pair);
@@ -686,7 +693,7 @@
 JobRequest newJob(World &world, int tasks, std::int64_t runMs, std::int64_t deadlineInMs)
 {
     JobRequest job;
-    job.id = "job-" + std::to_string(++world.jobsMade);
+    job.id = "job-" + std::to_string(++world.jobCount);
     job.firstSubmittedMs = wallMs(world);
     job.deadlineMs = wallMs(world) + deadlineInMs;
     job.tasks = tasks;
@@ -696,10 +703,10 @@
 
 std::size_t submit(World &world, int gateway, const JobRequest &job)
 {
-    Dispatch::CallerRequest asked;
-    asked.kind = Schema::ForwardKind::Submit;
-    asked.job = job.id;
-    Schema::SubmitJob &content = asked.submit.emplace();
+    Dispatch::CallerRequest callerRequest;
+    callerRequest.kind = Schema::ForwardKind::Submit;
+    callerRequest.job = job.id;
+    Schema::SubmitJob &content = callerRequest.submit.emplace();
     content.id = job.id;
     content.firstSubmittedMs = job.firstSubmittedMs;
     content.deadlineMs = job.deadlineMs;
@@ -709,27 +716,29 @@
     Schema::SubmitTask task;
     task.payload = std::to_string(job.runMs);
     content.tasks.assign(static_cast<std::size_t>(job.tasks), task);
-    const std::size_t submission =
-            submissionMade(world.oracle, job.id, static_cast<std::size_t>(job.tasks), world.nowMs);
-    asked.token = std::to_string(submission);
+    const std::size_t submission = recordSubmission(
+            world.oracle, job.id, static_cast<std::size_t>(job.tasks), world.nowMs);
+    callerRequest.token = std::to_string(submission);
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
-    deliver(process, [&world, &process, gateway, asked] {
+    deliver(process, [&world, &process, gateway, callerRequest] {
         carryOut(world, gateway,
-                 Dispatch::callerAsked(process.state, asked, moment(world), process.random));
+                 Dispatch::handleCallerRequest(process.state, callerRequest, moment(world),
+                                               process.random));
     });
     return submission;
 }
 
 void cancel(World &world, int gateway, const std::string &job)
 {
-    Dispatch::CallerRequest asked;
-    asked.kind = Schema::ForwardKind::Cancel;
-    asked.wait = false;
-    asked.job = job;
+    Dispatch::CallerRequest callerRequest;
+    callerRequest.kind = Schema::ForwardKind::Cancel;
+    callerRequest.wait = false;
+    callerRequest.job = job;
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
-    deliver(process, [&world, &process, gateway, asked] {
+    deliver(process, [&world, &process, gateway, callerRequest] {
         carryOut(world, gateway,
-                 Dispatch::callerAsked(process.state, asked, moment(world), process.random));
+                 Dispatch::handleCallerRequest(process.state, callerRequest, moment(world),
+                                               process.random));
     });
 }
 
@@ -744,8 +753,8 @@
     GatewayProcess &process = *world.gateways[static_cast<std::size_t>(gateway)];
     deliver(process, [&world, &process, gateway, change, basedOn] {
         carryOut(world, gateway,
-                 Dispatch::configureAsked(process.state, "", change, basedOn, moment(world),
-                                          process.random));
+                 Dispatch::handleConfigChange(process.state, "", change, basedOn, moment(world),
+                                              process.random));
     });
 }
 
